--- a/crates/trial/src/agreed/draw.rs
+++ b/crates/fault-injection/src/agreed/draw.rs
@@ -1,6 +1,6 @@
 //! Worlds that are drawn: a small fleet and a handful of faults from one seed.
 
-use merlinfold_world::seed::Seed;
+use merlinfold_simulation::seed::Seed;
 use rand::Rng;
 
 use super::player::World;
--- a/crates/trial/src/agreed/laws.rs
+++ b/crates/fault-injection/src/agreed/laws.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use merlinfold_agree::applied::Applied;
-use merlinfold_agree::command::{CommandId, Entry, Outcome, What};
-use merlinfold_agree::Group;
-use merlinfold_world::Nanos;
+use merlinfold_replicated_log::applied::Applied;
+use merlinfold_replicated_log::command::{CommandId, Entry, Outcome, What};
+use merlinfold_replicated_log::Group;
+use merlinfold_simulation::Nanos;
 
 /// A law that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/trial/src/agreed/player.rs
+++ b/crates/fault-injection/src/agreed/player.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use merlinfold_agree::command::{Command, Outcome, Set, What, SET};
-use merlinfold_agree::{
+use merlinfold_replicated_log::command::{Command, Outcome, Set, What, SET};
+use merlinfold_replicated_log::{
     Action, Agree, Defect, Event, Group, Identity, Kept as KeptLog, Name, Note, Peer, Tuning, Write,
 };
-use merlinfold_world::seed::{mix, Seed, Stream};
-use merlinfold_world::{Nanos, MS, SECOND};
+use merlinfold_simulation::seed::{mix, Seed, Stream};
+use merlinfold_simulation::{Nanos, MS, SECOND};
 use rand::Rng;
 
 use super::laws::{Breach, Watch};
--- a/crates/trial/src/configuration/content.rs
+++ b/crates/fault-injection/src/configuration/content.rs
@@ -1,7 +1,7 @@
 //! A model of content: a document is bytes, a delta is bytes that are written over some of them.
 
 use merlinfold_distribution::{Delta, Rejection};
-use merlinfold_world::seed::Stream;
+use merlinfold_simulation::seed::Stream;
 use rand::{Rng, RngCore};
 
 /// A delta: from where on, and what stands there afterwards.
--- a/crates/trial/src/configuration/draw.rs
+++ b/crates/fault-injection/src/configuration/draw.rs
@@ -1,6 +1,6 @@
 //! Worlds that are drawn: a fleet and a handful of faults from one seed.
 
-use merlinfold_world::seed::{Seed, Stream};
+use merlinfold_simulation::seed::{Seed, Stream};
 use rand::Rng;
 
 use super::player::World;
--- a/crates/trial/src/configuration/host.rs
+++ b/crates/fault-injection/src/configuration/host.rs
@@ -5,7 +5,7 @@
 use merlinfold_distribution::{
     encode, read, Action, Body, Event, Note, ProposalError, Rejection, RevisionId, Ticket, Write,
 };
-use merlinfold_world::{Nanos, MS};
+use merlinfold_simulation::{Nanos, MS};
 use rand::Rng;
 
 use super::content::compose;
--- a/crates/trial/src/configuration/judging.rs
+++ b/crates/fault-injection/src/configuration/judging.rs
@@ -1,7 +1,7 @@
 //! Looks at a fleet from outside: what is in force when and where, and what its nodes count.
 
 use merlinfold_distribution::{Distribution, RevisionId};
-use merlinfold_world::{Nanos, SECOND};
+use merlinfold_simulation::{Nanos, SECOND};
 use rand::Rng;
 
 use super::node::{number, Node};
--- a/crates/trial/src/configuration/laws.rs
+++ b/crates/fault-injection/src/configuration/laws.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use merlinfold_distribution::{Announcement, Digest, Document, Overview, RevisionId};
-use merlinfold_world::{Nanos, SECOND};
+use merlinfold_simulation::{Nanos, SECOND};
 
 /// A confirmed revision is in force at every reachable live node within this.
 pub const IN_FORCE_WITHIN: Nanos = 12 * SECOND;
--- a/crates/trial/src/configuration/node.rs
+++ b/crates/fault-injection/src/configuration/node.rs
@@ -5,8 +5,8 @@
 use merlinfold_distribution::{
     Action, Defect, Distribution, Identity, Name, Peer, RevisionId, Saved, Tuning,
 };
-use merlinfold_world::seed::mix;
-use merlinfold_world::Nanos;
+use merlinfold_simulation::seed::mix;
+use merlinfold_simulation::Nanos;
 
 use super::player::World;
 use crate::disk::ModelDisk;
--- a/crates/trial/src/configuration/player.rs
+++ b/crates/fault-injection/src/configuration/player.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use merlinfold_distribution::{Defect, Event, LogState, Peer, RevisionId};
-use merlinfold_world::seed::{Seed, Stream};
-use merlinfold_world::{Nanos, MS, SECOND};
+use merlinfold_simulation::seed::{Seed, Stream};
+use merlinfold_simulation::{Nanos, MS, SECOND};
 use rand::Rng;
 
 use super::draw::Kind;
--- a/crates/trial/src/configuration/publishing.rs
+++ b/crates/fault-injection/src/configuration/publishing.rs
@@ -7,7 +7,7 @@
     Announcement, Delta, Digest, Document, Event, ProposalError, Publication, PublishError, RevisionId,
     Ticket, Write,
 };
-use merlinfold_world::{Nanos, MS, SECOND};
+use merlinfold_simulation::{Nanos, MS, SECOND};
 use rand::seq::SliceRandom;
 use rand::Rng;
 
--- a/crates/trial/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
+use merlinfold_simulation::seed::{Seed, Stream};
+use merlinfold_simulation::Nanos;
 use merlinfold_store::Disk;
-use merlinfold_world::seed::{Seed, Stream};
-use merlinfold_world::Nanos;
 use rand::Rng;
 
 use crate::spec::{DiskFault, Kept, SLOW};
--- a/crates/trial/src/laws.rs
+++ b/crates/fault-injection/src/laws.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use merlinfold_membership::Change;
-use merlinfold_world::{Nanos, SECOND};
+use merlinfold_simulation::{Nanos, SECOND};
 use serde::Serialize;
 
 use crate::schedule::{nanos, Do, Effect, Nodes};
--- a/crates/trial/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -9,9 +9,9 @@
 //! time: that is what the other clock is for.
 //!
 //! ```
-//! let trial = merlinfold_trial::catalogue::find("machine-drops").unwrap();
-//! let first = merlinfold_trial::virtual_time::play("machine-drops", &trial, None).unwrap();
-//! let again = merlinfold_trial::virtual_time::play("machine-drops", &trial, None).unwrap();
+//! let trial = merlinfold_fault_injection::catalogue::find("machine-drops").unwrap();
+//! let first = merlinfold_fault_injection::virtual_time::play("machine-drops", &trial, None).unwrap();
+//! let again = merlinfold_fault_injection::virtual_time::play("machine-drops", &trial, None).unwrap();
 //! assert_eq!(first.breaches, []);
 //! assert_eq!(first.json(), again.json());
 //! ```
--- a/crates/trial/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use merlinfold_world::seed::{Seed, Stream};
-use merlinfold_world::{millis, Nanos, SECOND};
+use merlinfold_simulation::seed::{Seed, Stream};
+use merlinfold_simulation::{millis, Nanos, SECOND};
 use rand::Rng;
 
 use crate::schedule::{Do, Effect, Nodes};
--- a/crates/trial/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -1,6 +1,6 @@
 //! What a play leaves behind.
 
-use merlinfold_world::{Nanos, SECOND};
+use merlinfold_simulation::{Nanos, SECOND};
 use serde::Serialize;
 
 use crate::laws::{Breach, Findings};
--- a/crates/trial/src/scale.rs
+++ b/crates/fault-injection/src/scale.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 use merlinfold_membership::{Action, Event, Identity, Membership, Profile};
-use merlinfold_world::seed::{mix, Seed, Stream};
-use merlinfold_world::{Nanos, MS, SECOND};
+use merlinfold_simulation::seed::{mix, Seed, Stream};
+use merlinfold_simulation::{Nanos, MS, SECOND};
 use rand::Rng;
 
 const ZONES: usize = 8;
--- a/crates/trial/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use merlinfold_world::seed::{Seed, Stream};
-use merlinfold_world::{Nanos, SECOND};
+use merlinfold_simulation::seed::{Seed, Stream};
+use merlinfold_simulation::{Nanos, SECOND};
 use rand::seq::SliceRandom;
 
 use crate::spec::{DiskFault, Kept, Side, Trial, What, SERVERS};
--- a/crates/trial/src/spec.rs
+++ b/crates/fault-injection/src/spec.rs
@@ -1,7 +1,7 @@
 //! What a trial file says.
 
 use merlinfold_config::Fault as TextFault;
-use merlinfold_world::{Nanos, SECOND};
+use merlinfold_simulation::{Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
 /// Nodes of a trial at most.
--- a/crates/trial/src/virtual_time.rs
+++ b/crates/fault-injection/src/virtual_time.rs
@@ -8,8 +8,8 @@
     Action, Change, Event, Identity, Keeping, Membership, Name, Profile, Saved, Tuning, SAVE_EVERY,
     START_WITHIN,
 };
-use merlinfold_world::seed::mix;
-use merlinfold_world::{Nanos, MS, SECOND};
+use merlinfold_simulation::seed::mix;
+use merlinfold_simulation::{Nanos, MS, SECOND};
 
 use crate::disk::ModelDisk;
 use crate::doubles::Double;
--- a/crates/trial/tests/agreed.rs
+++ b/crates/fault-injection/tests/agreed.rs
@@ -1,11 +1,11 @@
-//! The agreed log over drawn worlds. `AGREED_SEEDS=1700 AGREED_FROM=1000 cargo test -p merlinfold-trial --test agreed
-//! -- --nocapture drawn` plays 1,700 of each kind; `AGREED_WORLD=44,3,false cargo test -p merlinfold-trial --test agreed
+//! The agreed log over drawn worlds. `AGREED_SEEDS=1700 AGREED_FROM=1000 cargo test -p merlinfold-fault-injection --test agreed
+//! -- --nocapture drawn` plays 1,700 of each kind; `AGREED_WORLD=44,3,false cargo test -p merlinfold-fault-injection --test agreed
 //! -- --nocapture --ignored show` tells what happens in one.
 
-use merlinfold_agree::Defect;
-use merlinfold_trial::agreed::{draw, play, World};
-use merlinfold_trial::spec::{Fault, Fleet, Kept, Network, Rules, What};
-use merlinfold_trial::Trial;
+use merlinfold_fault_injection::agreed::{draw, play, World};
+use merlinfold_fault_injection::spec::{Fault, Fleet, Kept, Network, Rules, What};
+use merlinfold_fault_injection::Trial;
+use merlinfold_replicated_log::Defect;
 
 /// Seed, nodes and whether disks last, of worlds that broke a law or did not go on once, with what was at fault.
 const KEPT: [(u64, usize, bool); 13] = [
@@ -127,7 +127,7 @@
 }
 
 #[test]
-#[ignore = "figures of the design note: cargo test -p merlinfold-trial --test agreed -- --nocapture --ignored figures"]
+#[ignore = "figures of the design note: cargo test -p merlinfold-fault-injection --test agreed -- --nocapture --ignored figures"]
 fn figures() {
     for nodes in [20, 100, 300] {
         let (mut latency, mut leaderless, mut bytes) = (Vec::new(), Vec::new(), 0.0);
--- a/crates/trial/tests/configuration.rs
+++ b/crates/fault-injection/tests/configuration.rs
@@ -1,12 +1,12 @@
 //! Distribution of configuration over drawn worlds. `CONFIGURATION_SEEDS=1000 CONFIGURATION_FROM=1000
-//! CONFIGURATION_NODES=20 cargo test -p merlinfold-trial --test configuration -- --nocapture drawn` plays 1,000 of each
-//! kind, and of `CONFIGURATION_KIND=Calm,Burst` only these; `CONFIGURATION_WORLD=44,20,Burst cargo test -p merlinfold-trial --test configuration -- --nocapture --ignored
+//! CONFIGURATION_NODES=20 cargo test -p merlinfold-fault-injection --test configuration -- --nocapture drawn` plays 1,000 of each
+//! kind, and of `CONFIGURATION_KIND=Calm,Burst` only these; `CONFIGURATION_WORLD=44,20,Burst cargo test -p merlinfold-fault-injection --test configuration -- --nocapture --ignored
 //! show` tells what happens in one.
 
 use std::collections::BTreeMap;
 
 use merlinfold_distribution::Defect;
-use merlinfold_trial::configuration::{draw, play, Kind, Played};
+use merlinfold_fault_injection::configuration::{draw, play, Kind, Played};
 
 const THREADS: usize = 3;
 
--- a/crates/trial/tests/kept.rs
+++ b/crates/fault-injection/tests/kept.rs
@@ -1,8 +1,8 @@
 //! The kept trials in virtual time, and doubles that have to break them.
 
-use merlinfold_trial::doubles::Double;
-use merlinfold_trial::spec::Trial;
-use merlinfold_trial::{catalogue, virtual_time};
+use merlinfold_fault_injection::doubles::Double;
+use merlinfold_fault_injection::spec::Trial;
+use merlinfold_fault_injection::{catalogue, virtual_time};
 
 fn with_seed(name: &str, seed: u64) -> Trial {
     Trial { seed, ..catalogue::find(name).unwrap() }
--- a/crates/trial/tests/laws.rs
+++ b/crates/fault-injection/tests/laws.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use merlinfold_trial::laws::{all, Findings, Law, Truth, Views};
-use merlinfold_trial::schedule::{Do, Effect};
-use merlinfold_trial::spec::{DiskFault, Kept};
-use merlinfold_trial::Trial;
+use merlinfold_fault_injection::laws::{all, Findings, Law, Truth, Views};
+use merlinfold_fault_injection::schedule::{Do, Effect};
+use merlinfold_fault_injection::spec::{DiskFault, Kept};
+use merlinfold_fault_injection::Trial;
 
 const S: u64 = 1_000_000_000;
 
--- a/crates/fleet/src/log/handle.rs
+++ b/crates/fleet/src/log/handle.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use merlinfold_agree::command::{Command, Outcome, Refusal, Set, Unsent, SET};
+use merlinfold_replicated_log::command::{Command, Outcome, Refusal, Set, Unsent, SET};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch};
--- a/crates/fleet/src/log/mod.rs
+++ b/crates/fleet/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The agreed log on the fleet's socket: the thin part around `merlinfold-agree`.
+//! The agreed log on the fleet's socket: the thin part around `merlinfold-replicated-log`.
 
 mod handle;
 mod part;
--- a/crates/fleet/src/log/part.rs
+++ b/crates/fleet/src/log/part.rs
@@ -5,13 +5,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use merlinfold_agree::command::{Command, CommandId, Outcome, Refusal, Set, SET};
-use merlinfold_agree::{
-    Action, Agree, Event, Identity, Kept, Nanos, Note, Peer, Tuning, Write, MAX_DATAGRAM,
-};
 use merlinfold_config::{AgreedLog, Durability};
 use merlinfold_distribution::{Announcement, LogState, ProposalError, REGISTER_KEY};
 use merlinfold_membership::Membership;
+use merlinfold_replicated_log::command::{Command, CommandId, Outcome, Refusal, Set, SET};
+use merlinfold_replicated_log::{
+    Action, Agree, Event, Identity, Kept, Nanos, Note, Peer, Tuning, Write, MAX_DATAGRAM,
+};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_blocking;
 use tokio::time::timeout;
--- a/crates/lab/src/closed.rs
+++ b/crates/lab/src/closed.rs
@@ -9,7 +9,7 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
-use merlinfold_world::report::histogram;
+use merlinfold_simulation::report::histogram;
 use serde_json::json;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -1,6 +1,6 @@
 //! The experiments that are kept, and reading others.
 
-use merlinfold_world::experiment::Experiment;
+use merlinfold_simulation::experiment::Experiment;
 
 macro_rules! kept {
     ($($name:literal),* $(,)?) => {
@@ -49,9 +49,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use merlinfold_world::clients::draw;
-    use merlinfold_world::seed::Seed;
-    use merlinfold_world::trouble::timeline;
+    use merlinfold_simulation::clients::draw;
+    use merlinfold_simulation::seed::Seed;
+    use merlinfold_simulation::trouble::timeline;
 
     #[test]
     fn every_kept_experiment_is_valid_and_asks_a_question() {
--- a/crates/lab/src/html.rs
+++ b/crates/lab/src/html.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use merlinfold_world::report::{Report, Span};
+use merlinfold_simulation::report::{Report, Span};
 use plotters::prelude::*;
 
 const SIZE: (u32, u32) = (960, 260);
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The lab: plays days of the [`merlinfold_world`] against real node processes on loopback sockets.
+//! The lab: plays days of the [`merlinfold_simulation`] against real node processes on loopback sockets.
 //!
 //! It starts the nodes, plays guide servers, discovery, the front and the clients around them, causes what an
 //! experiment says goes wrong, writes down on both sides what becomes of every request, and judges. It
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -10,7 +10,7 @@
 use merlinfold_lab::play::{play, Plan, Played};
 use merlinfold_lab::process::NodeCommand;
 use merlinfold_lab::{capacity, experiments, html, scale, sim, trial};
-use merlinfold_world::experiment::Experiment;
+use merlinfold_simulation::experiment::Experiment;
 use tokio::signal::unix::{signal, SignalKind};
 
 /// Plays days of traffic and trouble against real nodes on loopback, and says what was served and which
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,9 +1,9 @@
 //! What a platform tells a node, made from an experiment, and what discovery writes.
 
-use merlinfold_world::discovery::{Listing, Status};
-use merlinfold_world::experiment::{Effect, Experiment};
-use merlinfold_world::seed::mix;
-use merlinfold_world::{millis, SECOND};
+use merlinfold_simulation::discovery::{Listing, Status};
+use merlinfold_simulation::experiment::{Effect, Experiment};
+use merlinfold_simulation::seed::mix;
+use merlinfold_simulation::{millis, SECOND};
 use serde_json::{json, Value};
 
 use crate::net::Range;
@@ -40,18 +40,19 @@
 /// The settings object.
 pub fn settings(day: &Experiment, node: usize) -> Value {
     let nanos = millis;
-    let class = |class: &merlinfold_world::experiment::Class| {
+    let class = |class: &merlinfold_simulation::experiment::Class| {
         json!({
             "Name": class.name, "Aim": nanos(class.aim_ms), "GiveUp": nanos(class.deadline_ms),
             "Semantics": match class.effect { Effect::Safe => "repeatable", Effect::Unsafe => "once" },
             "Worth": class.worth, "LateValue": 0.0, "Stream": false,
         })
     };
-    let tenant = |tenant: &merlinfold_world::experiment::Tenant| json!({"Name": tenant.name, "QuotaPerS": tenant.quota_per_s, "Fraction": tenant.share});
+    let tenant = |tenant: &merlinfold_simulation::experiment::Tenant| json!({"Name": tenant.name, "QuotaPerS": tenant.quota_per_s, "Fraction": tenant.share});
     let builds = || day.fleet.kinds.iter().map(|kind| &kind.build);
     let least =
-        |value: fn(&merlinfold_world::server::Spec) -> f64| builds().map(value).fold(f64::MAX, f64::min);
-    let most = |value: fn(&merlinfold_world::server::Spec) -> f64| builds().map(value).fold(0.0, f64::max);
+        |value: fn(&merlinfold_simulation::server::Spec) -> f64| builds().map(value).fold(f64::MAX, f64::min);
+    let most =
+        |value: fn(&merlinfold_simulation::server::Spec) -> f64| builds().map(value).fold(0.0, f64::max);
     json!({
         "Balancers": day.nodes.count, "Me": node,
         "Categories": day.classes.iter().map(class).collect::<Vec<_>>(),
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use merlinfold_world::experiment::Experiment;
-use merlinfold_world::ledger::{Breach, Ledger, Life};
-use merlinfold_world::report::{lab, report, Report, Usage};
-use merlinfold_world::seed::Seed;
-use merlinfold_world::trouble::Change;
-use merlinfold_world::{millis, Nanos, SECOND};
+use merlinfold_simulation::experiment::Experiment;
+use merlinfold_simulation::ledger::{Breach, Ledger, Life};
+use merlinfold_simulation::report::{lab, report, Report, Usage};
+use merlinfold_simulation::seed::Seed;
+use merlinfold_simulation::trouble::Change;
+use merlinfold_simulation::{millis, Nanos, SECOND};
 use rustix::process::Signal;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -4,7 +4,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use merlinfold_world::report::Usage;
+use merlinfold_simulation::report::Usage;
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::process::{Child, Command};
 
--- a/crates/lab/src/scale/catch_up.rs
+++ b/crates/lab/src/scale/catch_up.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use merlinfold_world::{MS, SECOND};
+use merlinfold_simulation::{MS, SECOND};
 
 use super::cluster::Cluster;
 use super::messages::{NodeSample, Proposals};
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clap::ValueEnum;
-use merlinfold_world::{Nanos, SECOND};
+use merlinfold_simulation::{Nanos, SECOND};
 use serde::Serialize;
 
 use super::cluster::Cluster;
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -12,7 +12,7 @@
 
 use merlinfold_config::{parse, Config};
 use merlinfold_fleet::{Fleet, LogHandle, Snapshot};
-use merlinfold_world::Nanos;
+use merlinfold_simulation::Nanos;
 use tokio::sync::{mpsc, watch};
 use tokio::task::AbortHandle;
 use tokio::time::{interval, sleep, Instant, MissedTickBehavior};
--- a/crates/lab/src/scale/messages.rs
+++ b/crates/lab/src/scale/messages.rs
@@ -3,7 +3,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-use merlinfold_world::Nanos;
+use merlinfold_simulation::Nanos;
 use serde::{Deserialize, Serialize};
 
 const FLEET_PORT: u16 = 7_946;
--- a/crates/lab/src/scale/proof.rs
+++ b/crates/lab/src/scale/proof.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use merlinfold_world::SECOND;
+use merlinfold_simulation::SECOND;
 use serde::Serialize;
 use serde_json::json;
 
--- a/crates/lab/src/scale/resources.rs
+++ b/crates/lab/src/scale/resources.rs
@@ -3,7 +3,7 @@
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 
-use merlinfold_world::Nanos;
+use merlinfold_simulation::Nanos;
 
 const NANOS_A_SECOND: Nanos = 1_000_000_000;
 /// Fields of a line of `/proc/stat` in which a processor does nothing: idle, and idle while a disk works (proc(5)).
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -1,7 +1,7 @@
 //! The membership machine alone in virtual time, by the size of the fleet.
 
+use merlinfold_fault_injection::scale::{play, Plan};
 use merlinfold_membership::{Membership, Tuning};
-use merlinfold_trial::scale::{play, Plan};
 
 use super::report::{Figure, Measured, Run, Sweep};
 use super::resources::thread_cpu;
--- a/crates/lab/src/scale/sweep.rs
+++ b/crates/lab/src/scale/sweep.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use merlinfold_world::{Nanos, MS};
+use merlinfold_simulation::{Nanos, MS};
 
 use super::cluster::Cluster;
 use super::messages::{NodeSample, Proposals, CANDIDATES};
--- a/crates/lab/src/scale/window.rs
+++ b/crates/lab/src/scale/window.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinfold_world::{Nanos, MS, SECOND};
+use merlinfold_simulation::{Nanos, MS, SECOND};
 use serde::Serialize;
 
 use super::cluster::Series;
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use merlinfold_world::discovery::{Listing, Status};
-use merlinfold_world::experiment::Experiment;
-use merlinfold_world::fleet::{Effect, Fleet};
-use merlinfold_world::ledger::Run;
-use merlinfold_world::list_faults::{ListFault, ListFaults};
-use merlinfold_world::report::{histogram, micros};
-use merlinfold_world::seed::{mix, Seed};
-use merlinfold_world::server::{Arrival, Done, Reply};
-use merlinfold_world::told::{told_by_default, Told};
-use merlinfold_world::trouble::{outages, Change};
-use merlinfold_world::{Nanos, MS};
+use merlinfold_simulation::discovery::{Listing, Status};
+use merlinfold_simulation::experiment::Experiment;
+use merlinfold_simulation::fleet::{Effect, Fleet};
+use merlinfold_simulation::ledger::Run;
+use merlinfold_simulation::list_faults::{ListFault, ListFaults};
+use merlinfold_simulation::report::{histogram, micros};
+use merlinfold_simulation::seed::{mix, Seed};
+use merlinfold_simulation::server::{Arrival, Done, Reply};
+use merlinfold_simulation::told::{told_by_default, Told};
+use merlinfold_simulation::trouble::{outages, Change};
+use merlinfold_simulation::{Nanos, MS};
 use serde_json::Value;
 use socket2::SockRef;
 use tokio::io::AsyncWriteExt;
@@ -94,7 +94,7 @@
     /// What nodes were told.
     pub told: Vec<Told>,
     /// Servers that fell over.
-    pub falls: Vec<(usize, merlinfold_world::server::Fall)>,
+    pub falls: Vec<(usize, merlinfold_simulation::server::Fall)>,
     /// Lateness of the thread's timer, in microseconds.
     pub late: Histogram<u64>,
 }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -12,18 +12,18 @@
 };
 use merlinfold_decide::policy::Balancer;
 use merlinfold_settings::{Env, Listed, Names};
-use merlinfold_world::clients::{Clients, End, Try};
-use merlinfold_world::discovery::{Listing, Status};
-use merlinfold_world::experiment::Experiment;
-use merlinfold_world::fleet::{Effect, Fleet};
-use merlinfold_world::front::Front;
-use merlinfold_world::ledger::{Breach, Ledger, Life as NodeLife, Run, Tried};
-use merlinfold_world::report::{report, Report};
-use merlinfold_world::seed::{mix, Seed, Stream};
-use merlinfold_world::server::{Arrival, Life, Reply};
-use merlinfold_world::told::{told_by_default, Told};
-use merlinfold_world::trouble::{outages, Change};
-use merlinfold_world::{millis, Nanos, MS, SECOND};
+use merlinfold_simulation::clients::{Clients, End, Try};
+use merlinfold_simulation::discovery::{Listing, Status};
+use merlinfold_simulation::experiment::Experiment;
+use merlinfold_simulation::fleet::{Effect, Fleet};
+use merlinfold_simulation::front::Front;
+use merlinfold_simulation::ledger::{Breach, Ledger, Life as NodeLife, Run, Tried};
+use merlinfold_simulation::report::{report, Report};
+use merlinfold_simulation::seed::{mix, Seed, Stream};
+use merlinfold_simulation::server::{Arrival, Life, Reply};
+use merlinfold_simulation::told::{told_by_default, Told};
+use merlinfold_simulation::trouble::{outages, Change};
+use merlinfold_simulation::{millis, Nanos, MS, SECOND};
 
 use crate::platform;
 
--- a/crates/lab/src/time.rs
+++ b/crates/lab/src/time.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Condvar, Mutex, OnceLock, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use merlinfold_world::Nanos;
+use merlinfold_simulation::Nanos;
 use tokio::sync::Notify;
 
 /// Time since the day's start; 0 until then.
--- a/crates/lab/src/trial/agreed.rs
+++ b/crates/lab/src/trial/agreed.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
+use merlinfold_fault_injection::spec::Log;
 use merlinfold_fleet::LogView;
-use merlinfold_trial::spec::Log;
-use merlinfold_world::seed::Seed;
+use merlinfold_simulation::seed::Seed;
 use rand::Rng;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/lab/src/trial/command.rs
+++ b/crates/lab/src/trial/command.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use clap::{Args, Subcommand};
-use merlinfold_trial::report::Report;
-use merlinfold_trial::{catalogue, html, shrink, virtual_time, Trial};
+use merlinfold_fault_injection::report::Report;
+use merlinfold_fault_injection::{catalogue, html, shrink, virtual_time, Trial};
 
 use crate::process::NodeCommand;
 
--- a/crates/lab/src/trial/faulty.rs
+++ b/crates/lab/src/trial/faulty.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+use merlinfold_fault_injection::spec::{DiskFault, SLOW};
 use merlinfold_fleet::Disks;
+use merlinfold_simulation::seed::{Seed, Stream};
 use merlinfold_store::{Disk, Folder};
-use merlinfold_trial::spec::{DiskFault, SLOW};
-use merlinfold_world::seed::{Seed, Stream};
 use rand::Rng;
 
 /// What the process sees and the disk below does not have yet.
@@ -202,8 +202,8 @@
 
 #[cfg(test)]
 mod tests {
+    use merlinfold_fault_injection::disk::ModelDisk;
     use merlinfold_store::{Fault, File};
-    use merlinfold_trial::disk::ModelDisk;
     use proptest::prelude::*;
 
     use super::*;
--- a/crates/lab/src/trial/processes.rs
+++ b/crates/lab/src/trial/processes.rs
@@ -6,17 +6,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use merlinfold_fault_injection::laws::{all, Findings, Law, Truth, Views, MOMENT};
+use merlinfold_fault_injection::link::Links;
+use merlinfold_fault_injection::report::{mean_and_most, seconds, Moment, Report};
+use merlinfold_fault_injection::schedule::{nanos, steps, Do};
+use merlinfold_fault_injection::spec::{DiskFault, Kept, What, CLIENTS, DISCOVERY, SERVERS};
+use merlinfold_fault_injection::Trial;
 use merlinfold_fleet::Snapshot;
-use merlinfold_trial::laws::{all, Findings, Law, Truth, Views, MOMENT};
-use merlinfold_trial::link::Links;
-use merlinfold_trial::report::{mean_and_most, seconds, Moment, Report};
-use merlinfold_trial::schedule::{nanos, steps, Do};
-use merlinfold_trial::spec::{DiskFault, Kept, What, CLIENTS, DISCOVERY, SERVERS};
-use merlinfold_trial::Trial;
-use merlinfold_world::experiment::Experiment;
-use merlinfold_world::ledger::{Law as LedgerLaw, Ledger, Life};
-use merlinfold_world::seed::{mix, Seed};
-use merlinfold_world::{millis, Nanos};
+use merlinfold_simulation::experiment::Experiment;
+use merlinfold_simulation::ledger::{Law as LedgerLaw, Ledger, Life};
+use merlinfold_simulation::seed::{mix, Seed};
+use merlinfold_simulation::{millis, Nanos};
 use rustix::process::Signal;
 use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -159,7 +159,7 @@
     if trial.fleet.strangers > 0 {
         return Err("strangers are played in virtual time only".to_owned());
     }
-    let of_store = |fault: &merlinfold_trial::spec::Fault| match fault.what {
+    let of_store = |fault: &merlinfold_fault_injection::spec::Fault| match fault.what {
         What::Disk { does, .. } => does.is_of_the_store(),
         _ => false,
     };
@@ -248,7 +248,7 @@
         self.nodes[node].as_ref().map(Process::tail).unwrap_or_default()
     }
 
-    async fn run(&mut self, steps: &[merlinfold_trial::schedule::Step]) -> Result<(), String> {
+    async fn run(&mut self, steps: &[merlinfold_fault_injection::schedule::Step]) -> Result<(), String> {
         let begun = Instant::now();
         let at = |at: Nanos| begun + Duration::from_nanos(at);
         let end = at(nanos(self.trial.seconds));
@@ -479,7 +479,7 @@
             if had == Some(is) {
                 continue;
             }
-            if let Some(member) = merlinfold_trial::laws::number(name) {
+            if let Some(member) = merlinfold_fault_injection::laws::number(name) {
                 for law in &mut self.laws {
                     law.change(now, &self.truth, node, member, is, &mut self.found);
                 }
@@ -544,14 +544,14 @@
             falls: of_servers.falls,
             marks: Vec::new(),
         };
-        let mut of_requests = merlinfold_world::report::report(&self.day, &ledger);
+        let mut of_requests = merlinfold_simulation::report::report(&self.day, &ledger);
         let broken = of_requests.judge(&self.day, &ledger);
         let judged = Report::new(&self.report.name, self.trial, "processes", self.found);
         let mut report = self.report;
         (report.breaches, report.figures) = (judged.breaches, judged.figures);
         for breach in broken {
             if let Some((_, law)) = OF_REQUESTS.into_iter().find(|(law, _)| *law == breach.law) {
-                report.breaches.push(merlinfold_trial::laws::Breach {
+                report.breaches.push(merlinfold_fault_injection::laws::Breach {
                     law,
                     at: seconds(now),
                     what: breach.what,
@@ -561,20 +561,28 @@
         if let Some(told) = agreed {
             report.line(now, None, told.text);
             let broken = told.broken.into_iter();
-            report.breaches.extend(broken.map(|(law, what)| merlinfold_trial::laws::Breach {
+            report.breaches.extend(broken.map(|(law, what)| merlinfold_fault_injection::laws::Breach {
                 law,
                 at: seconds(now),
                 what,
             }));
         }
         for what in crashed {
-            report.breaches.push(merlinfold_trial::laws::Breach { law: "ends well", at: seconds(now), what });
+            report.breaches.push(merlinfold_fault_injection::laws::Breach {
+                law: "ends well",
+                at: seconds(now),
+                what,
+            });
         }
         let whole = &of_requests.whole;
         let served = whole.served as f64 / whole.asked.max(1) as f64;
         if served < self.trial.rules.served {
             let what = format!("{served:.3} of the requests, {} are wanted", self.trial.rules.served);
-            report.breaches.push(merlinfold_trial::laws::Breach { law: "served", at: seconds(now), what });
+            report.breaches.push(merlinfold_fault_injection::laws::Breach {
+                law: "served",
+                at: seconds(now),
+                what,
+            });
         }
         report.figures.served = Some(served);
         report.figures.bytes_s = mean_and_most(&bytes);
--- a/crates/lab/src/trial/relay.rs
+++ b/crates/lab/src/trial/relay.rs
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use merlinfold_trial::link::Links;
-use merlinfold_trial::schedule::Do;
-use merlinfold_world::Nanos;
+use merlinfold_fault_injection::link::Links;
+use merlinfold_fault_injection::schedule::Do;
+use merlinfold_simulation::Nanos;
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/lab/tests/command.rs
+++ b/crates/lab/tests/command.rs
@@ -85,7 +85,7 @@
     let files = [json.to_str().unwrap(), html.to_str().unwrap()];
     let ended = lab(&["run", "crash-quarter", "--virtual", "--json", files[0], "--html", files[1]]);
     assert!(ended.status.success());
-    let report: merlinfold_world::report::Report =
+    let report: merlinfold_simulation::report::Report =
         serde_json::from_str(&std::fs::read_to_string(&json).unwrap()).unwrap();
     assert_eq!((report.schema, report.experiment.as_str()), (1, "crash-quarter"));
     let asked: u64 = report.windows.iter().map(|window| window.asked).sum();
--- a/crates/lab/tests/defects.rs
+++ b/crates/lab/tests/defects.rs
@@ -3,8 +3,8 @@
 use merlinfold_lab::experiments;
 use merlinfold_lab::play::{play, Plan};
 use merlinfold_lab::process::NodeCommand;
-use merlinfold_world::experiment::{Experiment, Trouble, TroubleKind};
-use merlinfold_world::ledger::Law;
+use merlinfold_simulation::experiment::{Experiment, Trouble, TroubleKind};
+use merlinfold_simulation::ledger::Law;
 
 /// A short day of one double; the laws that were broken.
 fn broken(defect: &str, change: impl FnOnce(&mut Experiment)) -> Vec<Law> {
--- a/crates/lab/tests/list_faults.rs
+++ b/crates/lab/tests/list_faults.rs
@@ -7,8 +7,8 @@
 use merlinfold_lab::experiments;
 use merlinfold_lab::play::{play, Plan};
 use merlinfold_lab::process::NodeCommand;
-use merlinfold_world::experiment::{Trouble, TroubleKind};
-use merlinfold_world::ledger::Breach;
+use merlinfold_simulation::experiment::{Trouble, TroubleKind};
+use merlinfold_simulation::ledger::Breach;
 
 const SEEDS: Range<u64> = 1..3;
 const NODES: usize = 24;
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -3,13 +3,13 @@
 
 use std::net::SocketAddr;
 
+use merlinfold_fault_injection::agreed::{self, World};
+use merlinfold_fault_injection::scale::{play, Machine, Measured, Plan};
+use merlinfold_fault_injection::spec::{Fleet, Network, Rules};
+use merlinfold_fault_injection::Trial;
 use merlinfold_lab::scale::fit::{Fit, Forecast, Point};
 use merlinfold_membership::{Action, Event, Identity, Membership, Tuning};
-use merlinfold_trial::agreed::{self, World};
-use merlinfold_trial::scale::{play, Machine, Measured, Plan};
-use merlinfold_trial::spec::{Fleet, Network, Rules};
-use merlinfold_trial::Trial;
-use merlinfold_world::{Nanos, SECOND};
+use merlinfold_simulation::{Nanos, SECOND};
 
 /// Smaller fleets leave buckets of a digest empty, whose zeros are shorter: their bytes still rise with each node.
 const SIZES: [usize; 4] = [150, 200, 250, 300];
--- a/crates/lab/tests/virtual_time.rs
+++ b/crates/lab/tests/virtual_time.rs
@@ -1,8 +1,8 @@
 //! Days in virtual time: the decision module among the models.
 
 use merlinfold_lab::{experiments, sim};
-use merlinfold_world::experiment::Experiment;
-use merlinfold_world::ledger::Law;
+use merlinfold_simulation::experiment::Experiment;
+use merlinfold_simulation::ledger::Law;
 
 /// Guards every search by seed: a day in virtual time is the same each time.
 #[test]
--- a/crates/agree/tests/machine.rs
+++ b/crates/replicated-log/tests/machine.rs
@@ -5,8 +5,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-use merlinfold_agree::command::{Command, Outcome, Refusal, Set, SET};
-use merlinfold_agree::{Action, Agree, Event, Identity, Kept, Nanos, Note, Peer, Tuning, MS, SECOND};
+use merlinfold_replicated_log::command::{Command, Outcome, Refusal, Set, SET};
+use merlinfold_replicated_log::{
+    Action, Agree, Event, Identity, Kept, Nanos, Note, Peer, Tuning, MS, SECOND,
+};
 use merlinfold_store::Disk;
 use proptest::prelude::*;
 
--- a/crates/world/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -10,7 +10,7 @@
 //! are the host's.
 //!
 //! ```
-//! use merlinfold_world::server::{Arrival, Reply, Server, Spec};
+//! use merlinfold_simulation::server::{Arrival, Reply, Server, Spec};
 //!
 //! const MS: u64 = 1_000_000;
 //! let spec = Spec { cores: 1.0, speed: 2.0, ..Spec::default() };
--- a/crates/world/tests/laws.rs
+++ b/crates/simulation/tests/laws.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use merlinfold_world::clients::{Clients, End};
-use merlinfold_world::experiment::{Effect, Experiment};
-use merlinfold_world::seed::Seed;
-use merlinfold_world::server::{Arrival, Cancels, Done, Faults, Life, Reply, Server, Spec, WarmBy};
-use merlinfold_world::{Nanos, MS, SECOND};
+use merlinfold_simulation::clients::{Clients, End};
+use merlinfold_simulation::experiment::{Effect, Experiment};
+use merlinfold_simulation::seed::Seed;
+use merlinfold_simulation::server::{Arrival, Cancels, Done, Faults, Life, Reply, Server, Spec, WarmBy};
+use merlinfold_simulation::{Nanos, MS, SECOND};
 use proptest::prelude::*;
 
 const DAY: &str = r#"
@@ -223,7 +223,7 @@
 fn what_is_drawn_has_the_stated_rate_and_shares() {
     let mut day = toml::from_str::<Experiment>(DAY).unwrap();
     day.seconds = 60.0;
-    let wishes = merlinfold_world::clients::draw(&day, Seed(3));
+    let wishes = merlinfold_simulation::clients::draw(&day, Seed(3));
     let expected = day.per_second() * 60.0;
     assert!((wishes.len() as f64 / expected - 1.0).abs() < 0.15, "{} of {expected}", wishes.len());
     let fetch = wishes.iter().filter(|wish| wish.class == 0).count() as f64 / wishes.len() as f64;
@@ -236,8 +236,8 @@
 /// counts when it is heard.
 #[test]
 fn a_change_counts_as_told_so_long_after_discovery_had_it_and_could_be_reached() {
-    use merlinfold_world::discovery::Status;
-    use merlinfold_world::told::{told_by_default, Outage, Told};
+    use merlinfold_simulation::discovery::Status;
+    use merlinfold_simulation::told::{told_by_default, Outage, Told};
     let (latest, server, status) = (6_000, 0, Status::Terminating);
     let outages = [Outage { from: 10_000, until: Some(14_000) }, Outage { from: 40_000, until: None }];
     let counts = |shown| {
--- a/crates/world/tests/ledger.rs
+++ b/crates/simulation/tests/ledger.rs
@@ -1,11 +1,11 @@
 //! The rules must find what breaks them in a ledger made by hand.
 
-use merlinfold_world::clients::{Clients, End};
-use merlinfold_world::experiment::{Effect, Experiment};
-use merlinfold_world::ledger::{judge, Law, Ledger, Run, Tried};
-use merlinfold_world::seed::Seed;
-use merlinfold_world::server::Reply;
-use merlinfold_world::{Nanos, MS};
+use merlinfold_simulation::clients::{Clients, End};
+use merlinfold_simulation::experiment::{Effect, Experiment};
+use merlinfold_simulation::ledger::{judge, Law, Ledger, Run, Tried};
+use merlinfold_simulation::seed::Seed;
+use merlinfold_simulation::server::Reply;
+use merlinfold_simulation::{Nanos, MS};
 
 const DAY: &str = r#"
 question = "Is it found?"
--- a/crates/world/tests/list_faults.rs
+++ b/crates/simulation/tests/list_faults.rs
@@ -1,7 +1,7 @@
 //! How often calls to discovery go wrong.
 
-use merlinfold_world::list_faults::ListFaults;
-use merlinfold_world::seed::Seed;
+use merlinfold_simulation::list_faults::ListFaults;
+use merlinfold_simulation::seed::Seed;
 
 #[test]
 fn no_node_meets_more_than_two_faulty_calls_in_a_row() {
--- a/fuzz/fuzz_targets/product.rs
+++ b/fuzz/fuzz_targets/product.rs
@@ -3,7 +3,7 @@
 
 libfuzzer_sys::fuzz_target!(|text: &str| {
     let _ = merlinfold_config::parse::<merlinfold_config::Config>(text);
-    if let Ok(day) = merlinfold_config::parse::<merlinfold_world::experiment::Experiment>(text) {
+    if let Ok(day) = merlinfold_config::parse::<merlinfold_simulation::experiment::Experiment>(text) {
         let _ = day.check();
     }
 });
