--- a/crates/distribution/src/saved.rs
+++ b/crates/distribution/src/saved.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use merlinfold_store::{Disk, Fault, File};
+use merlinfold_store::{Disk, File, StoreError};
 use serde::{Deserialize, Serialize};
 
 use crate::revision::{Announcement, Digest};
@@ -61,14 +61,14 @@
 
 impl Write {
     /// Makes it durable. Without a fault it survives a crash; with one, what was there before is still there.
-    pub fn save(&self, disk: &dyn Disk, node: &str) -> Result<(), Fault> {
+    pub fn save(&self, disk: &dyn Disk, node: &str) -> Result<(), StoreError> {
         match self {
             Write::InForce(document) => file(IN_FORCE, node).save(disk, document),
             Write::Staged(staged) => file(STAGED, node).save(disk, staged),
             Write::SetAside => {
                 let name = file(IN_FORCE, node).name().to_owned();
                 let renamed = disk.rename(&name, &format!("{name}.set-aside"));
-                renamed.map_err(|error| Fault::Disk { step: "setting aside", error })
+                renamed.map_err(|error| StoreError::Io { step: "setting aside", error })
             }
         }
     }
@@ -76,7 +76,7 @@
 
 impl Saved {
     /// What the disk holds and can be believed; files that cannot be are named, and set aside where they are there.
-    pub fn load(disk: &dyn Disk, node: &str) -> (Self, Vec<Fault>) {
+    pub fn load(disk: &dyn Disk, node: &str) -> (Self, Vec<StoreError>) {
         let mut faults = Vec::new();
         let in_force: Option<Document> =
             file(IN_FORCE, node).load(disk).unwrap_or_else(|fault| note(&mut faults, fault));
@@ -88,7 +88,7 @@
     }
 }
 
-fn note<T>(faults: &mut Vec<Fault>, fault: Fault) -> Option<T> {
+fn note<T>(faults: &mut Vec<StoreError>, fault: StoreError) -> Option<T> {
     faults.push(fault);
     None
 }
--- a/crates/fault-injection/src/agreed/laws.rs
+++ b/crates/fault-injection/src/agreed/laws.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use merlinfold_replicated_log::applied::Applied;
-use merlinfold_replicated_log::command::{CommandId, Entry, Outcome, What};
+use merlinfold_replicated_log::applied::AppliedState;
+use merlinfold_replicated_log::command::{CommandId, Entry, EntryPayload, Outcome};
 use merlinfold_replicated_log::Group;
 use merlinfold_simulation::Nanos;
 
@@ -80,7 +80,8 @@
     pub fn confirmed(&mut self, now: Nanos, node: usize, group: Group, id: CommandId, outcome: Outcome) {
         if let Outcome::Done(index) = outcome {
             let there = self.agreed.get(&(group, index));
-            let is = |entry: &&Entry| matches!(&entry.what, What::Command(command) if command.id == id);
+            let is =
+                |entry: &&Entry| matches!(&entry.what, EntryPayload::Command(command) if command.id == id);
             // What an earlier group has agreed may be confirmed from the state that a later one took over.
             let earlier = self.agreed.iter().any(|((_, at), entry)| *at == index && is(&entry));
             if there.filter(is).is_none() && !earlier {
@@ -109,7 +110,7 @@
     }
 
     /// At the end: what was confirmed is in every state that goes as far.
-    pub fn kept(&mut self, now: Nanos, node: usize, group: Group, state: &Applied) {
+    pub fn kept(&mut self, now: Nanos, node: usize, group: Group, state: &AppliedState) {
         let lost: Vec<CommandId> = self
             .confirmed
             .iter()
--- a/crates/fault-injection/src/agreed/player.rs
+++ b/crates/fault-injection/src/agreed/player.rs
@@ -4,9 +4,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use merlinfold_replicated_log::command::{Command, Outcome, Set, What, SET};
+use merlinfold_replicated_log::command::{Command, EntryPayload, Outcome, Set, SET};
 use merlinfold_replicated_log::{
-    Action, Agree, Defect, Event, Group, Identity, Kept as KeptLog, Name, Note, Peer, Tuning, Write,
+    Action, Defect, Event, FileWrite, Group, Identity, Name, Notification, Peer, ReplicatedLog,
+    StoredLog as KeptLog, Tuning,
 };
 use merlinfold_simulation::seed::{mix, Seed, Stream};
 use merlinfold_simulation::{Nanos, MS, SECOND};
@@ -67,7 +68,7 @@
 
 struct Node {
     name: Name,
-    machine: Option<Agree>,
+    machine: Option<ReplicatedLog>,
     paused: bool,
     starts: u64,
     scheduled: Option<Nanos>,
@@ -271,7 +272,7 @@
     }
 
     fn watch_lead(&mut self, node: usize) {
-        if self.nodes[node].machine.as_ref().is_some_and(|machine| machine.leads().is_some()) {
+        if self.nodes[node].machine.as_ref().is_some_and(|machine| machine.leading_term().is_some()) {
             self.lost_lead = Some(self.now);
         }
     }
@@ -292,13 +293,13 @@
         let id = Identity {
             cluster: 7,
             name: of.name.clone(),
-            run: of.starts,
+            start_number: of.starts,
             candidates: (0..world.candidates).map(|n| format!("n{n}").into()).collect(),
-            voters: world.voters,
+            voter_count: world.voters,
         };
         let seed = mix(world.trial.seed ^ mix(node as u64 + (of.starts << 20)));
         let mut out = Vec::new();
-        let machine = Agree::new(id, self.tuning.clone(), found, seed, now, &mut out);
+        let machine = ReplicatedLog::new(id, self.tuning.clone(), found, seed, now, &mut out);
         of.machine = Some(machine);
         if let Some(doubt) = doubt {
             self.line(Some(node), format!("doubt: {doubt}"));
@@ -350,7 +351,7 @@
             let node = up[self.stream.random_range(0..up.len())];
             let id = self.stream.random::<u128>() | 1;
             let key = format!("k{}", self.stream.random_range(0..5));
-            let state = self.nodes[node].machine.as_ref().map(Agree::state);
+            let state = self.nodes[node].machine.as_ref().map(ReplicatedLog::state);
             let stands = state.and_then(|state| state.value(&key)).map_or(0, |value| value.revision);
             let expect = Some(stands).filter(|_| self.stream.random::<bool>());
             self.offer(node, id, &key, expect);
@@ -379,7 +380,7 @@
     }
 
     fn group(&self, node: usize) -> Group {
-        self.nodes[node].machine.as_ref().map(Agree::group).unwrap_or_default()
+        self.nodes[node].machine.as_ref().map(ReplicatedLog::group).unwrap_or_default()
     }
 
     fn carry(&mut self, node: usize, out: Vec<Action>) {
@@ -393,11 +394,11 @@
                     }
                 }
                 Action::Persist(writes) => self.persist(node, &writes),
-                Action::Tell(note) => self.note(node, &mut group, note),
+                Action::Notify(note) => self.note(node, &mut group, note),
             }
         }
         let Some(machine) = &self.nodes[node].machine else { return };
-        let (vote, due) = (machine.vote(), machine.due().max(self.now + MS));
+        let (vote, due) = (machine.durable_vote(), machine.next_deadline().max(self.now + MS));
         if let Some(vote) = vote {
             self.watch.voted(self.now, node, vote);
         }
@@ -407,7 +408,7 @@
         }
     }
 
-    fn persist(&mut self, node: usize, writes: &[Write]) {
+    fn persist(&mut self, node: usize, writes: &[FileWrite]) {
         let of = &self.nodes[node];
         let saved: Result<(), _> = writes.iter().try_for_each(|write| write.save(&of.disk, &of.name));
         let takes = MS / 2 + of.disk.takes(WRITE_STEPS * writes.len());
@@ -418,11 +419,11 @@
         self.push(self.now + takes, Ev::Saved { node, start, durable });
     }
 
-    fn note(&mut self, node: usize, group: &mut Group, note: Note) {
+    fn note(&mut self, node: usize, group: &mut Group, note: Notification) {
         match note {
-            Note::Applied(entry) => {
+            Notification::Applied(entry) => {
                 let of = self.nodes[node].machine.as_ref();
-                if let What::Command(command) = &entry.what {
+                if let EntryPayload::Command(command) = &entry.what {
                     let outcome = of.and_then(|machine| machine.state().outcome(command.id)).cloned();
                     if let Some(outcome) = outcome {
                         self.watch.effect(self.now, node, *group, command.id, &outcome);
@@ -430,12 +431,12 @@
                 }
                 self.watch.applied(self.now, node, *group, &entry);
             }
-            Note::Jumped(to, index) => {
+            Notification::StateReplaced(to, index) => {
                 *group = to;
                 self.watch.jumped(to, index);
                 self.line(Some(node), format!("holds {to:?} at {index}"));
             }
-            Note::Outcome(id, outcome) => {
+            Notification::Outcome(id, outcome) => {
                 if let Some(at) = self.proposed.get(&id) {
                     self.played.latency.push(self.now - at);
                 }
@@ -444,8 +445,8 @@
                 }
                 self.watch.confirmed(self.now, node, *group, id, outcome);
             }
-            Note::GivenUp(_) => self.played.given_up += 1,
-            Note::Leads(term) => {
+            Notification::ProposalTimedOut(_) => self.played.given_up += 1,
+            Notification::Leadership(term) => {
                 if let Some(term) = term {
                     self.watch.leads(self.now, node, *group, term);
                     if let Some(since) = self.lost_lead.take() {
@@ -465,12 +466,12 @@
         for &node in &up {
             let Some(machine) = &self.nodes[node].machine else { continue };
             self.watch.kept(now, node, machine.group(), machine.state());
-            let inside = machine.inside();
+            let inside = machine.debug_summary();
             let has = self.probe.is_some_and(|id| machine.state().outcome(id).is_some());
             went_on &= has;
             self.played.lines.push(format!("at the end n{node}: {inside}"));
             if self.world.goes_on {
-                let standing = machine.standing(now);
+                let standing = machine.status(now);
                 self.watch
                     .expect(now, has, || format!("n{node} does not have the last command: {standing:?}"));
             }
@@ -478,7 +479,7 @@
         let sent: u64 = self
             .nodes
             .iter()
-            .map(|node| node.sent + node.machine.as_ref().map_or(0, Agree::sent_bytes))
+            .map(|node| node.sent + node.machine.as_ref().map_or(0, ReplicatedLog::sent_bytes))
             .sum();
         self.played.bytes_s = sent as f64 / self.nodes.len() as f64 / (end as f64 / SECOND as f64);
         self.played.places = self.watch.places();
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use merlinfold_membership::{Keeping, Saved, START_WITHIN};
-use merlinfold_store::{Disk, Fault, Folder};
+use merlinfold_store::{Disk, Folder, StoreError};
 use tokio::task::spawn_blocking;
 use tokio::time::timeout;
 use tracing::warn;
@@ -64,12 +64,12 @@
     /// Does something with the disk, on a thread that may wait; none if the thread ended without a word.
     async fn with<T: Send + 'static>(
         &self, work: impl FnOnce(&Keeping, &dyn Disk) -> T + Send + 'static,
-    ) -> Option<Result<T, Fault>> {
+    ) -> Option<Result<T, StoreError>> {
         let keeper = self.clone();
         let done = spawn_blocking(move || {
             let _one = keeper.writing.lock().unwrap_or_else(PoisonError::into_inner);
             let open = &keeper.disks.0;
-            let disk = open(&keeper.folder).map_err(|error| Fault::Disk { step: "open", error })?;
+            let disk = open(&keeper.folder).map_err(|error| StoreError::Io { step: "open", error })?;
             Ok(work(&keeper.keeping, &*disk))
         });
         done.await.ok()
@@ -95,8 +95,8 @@
     }
 
     /// Keeps the addresses of others.
-    pub async fn save(&self, starts: u32, addresses: Vec<SocketAddr>) -> Result<(), Fault> {
+    pub async fn save(&self, starts: u32, addresses: Vec<SocketAddr>) -> Result<(), StoreError> {
         let saved = self.with(move |keeping, disk| keeping.save(disk, starts, addresses)).await;
-        saved.unwrap_or(Err(Fault::Value))? // the thread ended without a word
+        saved.unwrap_or(Err(StoreError::InvalidValue))? // the thread ended without a word
     }
 }
--- a/crates/fleet/src/log/handle.rs
+++ b/crates/fleet/src/log/handle.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use merlinfold_replicated_log::command::{Command, Outcome, Refusal, Set, Unsent, SET};
+use merlinfold_replicated_log::command::{Command, Outcome, ProposalError, Refusal, Set, SET};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -52,7 +52,7 @@
     Unconfirmed,
     /// It cannot be sent.
     #[error("{0}")]
-    Unsent(#[from] Unsent),
+    Unsent(#[from] ProposalError),
     /// There is too much to take in.
     #[error("too many calls at once: try again")]
     Busy,
--- a/crates/fleet/src/log/part.rs
+++ b/crates/fleet/src/log/part.rs
@@ -10,7 +10,8 @@
 use merlinfold_membership::Membership;
 use merlinfold_replicated_log::command::{Command, CommandId, Outcome, Refusal, Set, SET};
 use merlinfold_replicated_log::{
-    Action, Agree, Event, Identity, Kept, Nanos, Note, Peer, Tuning, Write, MAX_DATAGRAM,
+    Action, Event, FileWrite, Identity, Nanos, Notification, Peer, ReplicatedLog, StoredLog, Tuning,
+    MAX_DATAGRAM,
 };
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_blocking;
@@ -27,7 +28,7 @@
 
 /// The log's part of a node.
 pub(crate) struct LogPart {
-    machine: Agree,
+    machine: ReplicatedLog,
     name: String,
     disk: Option<(PathBuf, Disks)>,
     saved: (mpsc::Sender<bool>, mpsc::Receiver<bool>), // one at most is under way
@@ -60,12 +61,12 @@
         let id = Identity {
             cluster,
             name: name.into(),
-            run,
+            start_number: run,
             candidates: settings.candidates.iter().map(|name| name.as_str().into()).collect(),
-            voters: settings.voters,
+            voter_count: settings.voters,
         };
         let mut out = Vec::new();
-        let machine = Agree::new(id, Tuning::default(), kept, fastrand::u64(..), now, &mut out);
+        let machine = ReplicatedLog::new(id, Tuning::default(), kept, fastrand::u64(..), now, &mut out);
         let mut part = LogPart {
             machine,
             name: name.to_owned(),
@@ -86,7 +87,7 @@
 
     /// When it next wants its turn.
     pub fn due(&self) -> Nanos {
-        self.machine.due().min(self.looked + VIEW_EVERY)
+        self.machine.next_deadline().min(self.looked + VIEW_EVERY)
     }
 
     /// Waits for word of the disk.
@@ -108,7 +109,7 @@
 
     pub fn ask(&mut self, now: Nanos, asked: Asked) {
         let Asked { command, answer } = asked;
-        if let Err(unsent) = self.machine.takes(&command) {
+        if let Err(unsent) = self.machine.check_proposal(&command) {
             let _ = answer.send(Err(unsent.into())); // who has left wants no answer
             return;
         }
@@ -144,12 +145,12 @@
 
     /// What the log announces to the distribution of configuration.
     pub fn announced(&self, now: Nanos) -> LogState {
-        let standing = self.machine.standing(now);
+        let standing = self.machine.status(now);
         let value = self.machine.state().value(REGISTER_KEY);
         LogState {
             epoch: standing.group.epoch,
             value_revision: value.map_or(0, |value| value.revision),
-            fresh: standing.fresh,
+            fresh: standing.is_current,
             announcement: value.and_then(|value| Announcement::decode(&value.value)),
         }
     }
@@ -199,12 +200,12 @@
             match action {
                 Action::Send { to, bytes } => self.to_send.push((to, bytes)),
                 Action::Persist(writes) => self.persist(writes),
-                Action::Tell(note) => self.note(note),
+                Action::Notify(note) => self.note(note),
             }
         }
     }
 
-    fn persist(&self, writes: Vec<Write>) {
+    fn persist(&self, writes: Vec<FileWrite>) {
         let (tell, name) = (self.saved.0.clone(), self.name.clone());
         let Some((folder, disks)) = self.disk.clone() else { return };
         spawn_blocking(move || {
@@ -219,11 +220,11 @@
         });
     }
 
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: Notification) {
         self.changed = true;
         match note {
-            Note::Applied(_) => {}
-            Note::Outcome(id, outcome) => {
+            Notification::Applied(_) => {}
+            Notification::Outcome(id, outcome) => {
                 for answer in self.asked.remove(&id).unwrap_or_default() {
                     let outcome = match &outcome {
                         Outcome::Done(index) => Ok(*index),
@@ -232,40 +233,42 @@
                     let _ = answer.send(outcome); // who has left wants no answer
                 }
             }
-            Note::GivenUp(id) => {
+            Notification::ProposalTimedOut(id) => {
                 for answer in self.asked.remove(&id).unwrap_or_default() {
                     let _ = answer.send(Err(NotAgreed::Unconfirmed));
                 }
             }
-            Note::Jumped(group, index) => info!(epoch = group.epoch, index, "fleet log: holds"),
-            Note::Seat(Some(seat)) => info!(seat, "fleet log: votes"),
-            Note::Seat(None) => info!("fleet log: votes no more"),
-            Note::Leads(Some(term)) => info!(term, "fleet log: leads"),
-            Note::Leads(None) => info!("fleet log: leads no more"),
-            Note::Halted(unknown) => {
+            Notification::StateReplaced(group, index) => {
+                info!(epoch = group.epoch, index, "fleet log: holds")
+            }
+            Notification::VoterSlot(Some(seat)) => info!(seat, "fleet log: votes"),
+            Notification::VoterSlot(None) => info!("fleet log: votes no more"),
+            Notification::Leadership(Some(term)) => info!(term, "fleet log: leads"),
+            Notification::Leadership(None) => info!("fleet log: leads no more"),
+            Notification::Halted(unknown) => {
                 let (index, kind) = (unknown.index, unknown.kind);
                 warn!(index, kind, "fleet log: this version does not know what was agreed: upgrade it; it serves by what it holds");
                 self.halted =
                     Some(format!("entry {index} is of kind {kind}, which this version does not know"));
             }
-            Note::Differs(node, index, part) => {
+            Notification::StateDiverged(node, index, part) => {
                 warn!(%node, index, part, "fleet log: a copy differs and is fetched anew");
             }
-            Note::Doubted(why) => warn!(why, "fleet log: disk"),
+            Notification::StorageRejected(why) => warn!(why, "fleet log: disk"),
         }
     }
 
     fn show(&mut self, now: Nanos) {
-        let standing = self.machine.standing(now);
+        let standing = self.machine.status(now);
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         let values = self.machine.state().values();
         self.tell.send_replace(LogView {
             epoch: standing.group.epoch,
             index: standing.index,
-            told: standing.told,
-            fresh: standing.fresh,
-            votes: standing.seat.is_some(),
-            leads: standing.leads,
+            told: standing.latest_announced,
+            fresh: standing.is_current,
+            votes: standing.voter_slot.is_some(),
+            leads: standing.is_leader,
             voters: standing.voters.into_values().collect(),
             halted: self.halted.clone(),
             sent: self.sent,
@@ -277,9 +280,9 @@
     }
 }
 
-async fn load(folder: PathBuf, disks: Disks, name: &str) -> Kept {
+async fn load(folder: PathBuf, disks: Disks, name: &str) -> StoredLog {
     let (name, at) = (name.to_owned(), folder.display().to_string());
-    let loaded = spawn_blocking(move || disks.open(&folder).map(|disk| Kept::load(&*disk, &name)));
+    let loaded = spawn_blocking(move || disks.open(&folder).map(|disk| StoredLog::load(&*disk, &name)));
     match timeout(LOAD_WITHIN, loaded).await {
         Ok(Ok(Ok((kept, doubt)))) => {
             if let Some(doubt) = doubt {
@@ -289,11 +292,11 @@
         }
         Ok(Ok(Err(error))) => {
             warn!(folder = at, %error, "fleet log: the folder cannot be opened: begins anew as a voter");
-            Kept::default()
+            StoredLog::default()
         }
         _ => {
             warn!(folder = at, "fleet log: the disk does not answer: begins anew as a voter");
-            Kept::default()
+            StoredLog::default()
         }
     }
 }
--- a/crates/lab/src/trial/faulty.rs
+++ b/crates/lab/src/trial/faulty.rs
@@ -203,7 +203,7 @@
 #[cfg(test)]
 mod tests {
     use merlinfold_fault_injection::disk::ModelDisk;
-    use merlinfold_store::{Fault, File};
+    use merlinfold_store::{File, StoreError};
     use proptest::prelude::*;
 
     use super::*;
@@ -255,7 +255,7 @@
                             false
                         }
                         // Set aside, which the next crash may undo.
-                        Err(Fault::Unusable(_)) if doubt => {
+                        Err(StoreError::Unusable(_)) if doubt => {
                             confirmed = 0;
                             true
                         }
--- a/crates/membership/src/saved.rs
+++ b/crates/membership/src/saved.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use merlinfold_store::{Disk, Fault, File};
+use merlinfold_store::{Disk, File, StoreError};
 use serde::{Deserialize, Serialize};
 
 use crate::config::{Nanos, MS};
@@ -65,14 +65,14 @@
 
     /// Counts a start, durably, and returns what was kept, with what the disk did wrong. A file that cannot be read
     /// may hold a greater count than this one, so nothing is written over it.
-    pub fn start(&self, disk: &dyn Disk) -> (Saved, Vec<Fault>) {
+    pub fn start(&self, disk: &dyn Disk) -> (Saved, Vec<StoreError>) {
         let (kept, unread) = match self.file.load::<Saved>(disk) {
             Ok(kept) => (kept, None),
             Err(fault) => (None, Some(fault)),
         };
         let saved = kept.unwrap_or_default().next(&self.cluster);
-        let mut faults: Vec<Fault> = unread.into_iter().collect();
-        if !faults.iter().any(|fault| matches!(fault, Fault::Disk { .. })) {
+        let mut faults: Vec<StoreError> = unread.into_iter().collect();
+        if !faults.iter().any(|fault| matches!(fault, StoreError::Io { .. })) {
             faults.extend(self.file.save(disk, &saved).err());
         }
         (saved, faults)
@@ -80,10 +80,10 @@
 
     /// Keeps the addresses of others. The count of starts on the disk never falls: a successor may have counted, or
     /// this process never read what was there.
-    pub fn save(&self, disk: &dyn Disk, starts: u32, addresses: Vec<SocketAddr>) -> Result<(), Fault> {
+    pub fn save(&self, disk: &dyn Disk, starts: u32, addresses: Vec<SocketAddr>) -> Result<(), StoreError> {
         let on_disk = match self.file.load::<Saved>(disk) {
             Ok(kept) => kept.map_or(0, |kept| kept.starts),
-            Err(Fault::Unusable(_)) => 0, // set aside: there is nothing left to be believed
+            Err(StoreError::Unusable(_)) => 0, // set aside: there is nothing left to be believed
             Err(fault) => return Err(fault),
         };
         let saved = Saved { cluster: self.cluster.clone(), starts: starts.max(on_disk), addresses };
--- a/crates/membership/tests/saved.rs
+++ b/crates/membership/tests/saved.rs
@@ -5,7 +5,7 @@
 use std::io;
 
 use merlinfold_membership::Keeping;
-use merlinfold_store::{Disk, Fault};
+use merlinfold_store::{Disk, StoreError};
 
 /// Takes all that is written, and may fail to give it back.
 #[derive(Default)]
@@ -63,6 +63,6 @@
     keeping.start(&disk);
     disk.write(keeping.name(), b"mfstore").unwrap();
     let (saved, faults) = keeping.start(&disk);
-    assert!(saved.starts == 1 && matches!(faults[..], [Fault::Unusable(_)]), "{faults:?}");
+    assert!(saved.starts == 1 && matches!(faults[..], [StoreError::Unusable(_)]), "{faults:?}");
     assert_eq!(keeping.start(&disk).0.starts, 2);
 }
--- a/crates/replicated-log/src/applied.rs
+++ b/crates/replicated-log/src/applied.rs
@@ -5,19 +5,20 @@
 use serde::{Deserialize, Serialize};
 
 use crate::command::{
-    Command, CommandId, Entry, Outcome, Refusal, Set, What, BARRIER, BODY_MOST, KEY_MOST, SET,
+    Command, CommandId, Entry, EntryPayload, Outcome, Refusal, Set, BARRIER, MAX_BODY_BYTES, MAX_KEY_BYTES,
+    SET,
 };
 
 /// Ids whose outcome is remembered.
-pub const IDS_MOST: usize = 4_096;
+pub const MAX_REMEMBERED_IDS: usize = 4_096;
 /// Values in the register.
-pub const VALUES_MOST: usize = 4_096;
+pub const MAX_VALUES: usize = 4_096;
 /// Commands between two digests.
-pub const DIGEST_EVERY: u64 = 64;
+pub const DIGEST_INTERVAL: u64 = 64;
 const DIGESTS: usize = 8; // that are remembered
 
 /// Parts of the state, in the order of their digests.
-pub const PARTS: [&str; 3] = ["voters", "ids", "register"];
+pub const STATE_PARTS: [&str; 3] = ["voters", "ids", "register"];
 
 /// A value of the register.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +31,7 @@
 
 /// The state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Applied {
+pub struct AppliedState {
     /// Which group's log, counted from the first; a later group's is greater.
     pub epoch: u64,
     /// Number drawn when the group was founded.
@@ -44,22 +45,22 @@
     ids: BTreeMap<CommandId, Outcome>,
     order: VecDeque<CommandId>,
     register: BTreeMap<String, Value>,
-    digests: VecDeque<(u64, [u32; PARTS.len()])>,
+    digests: VecDeque<(u64, [u32; STATE_PARTS.len()])>,
 }
 
 /// A command that this version does not know: nothing after it is applied here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unknown {
+pub struct UnknownCommand {
     /// Its place.
     pub index: u64,
     /// Its kind.
     pub kind: u16,
 }
 
-impl Applied {
+impl AppliedState {
     /// The first state of a group that these voters found, on top of what was agreed before.
-    pub fn found(self, group: u64, voters: BTreeMap<u64, String>) -> Self {
-        Applied {
+    pub fn with_new_group(self, group: u64, voters: BTreeMap<u64, String>) -> Self {
+        AppliedState {
             epoch: self.epoch + 1,
             group,
             // A new log at a place of its own: no entry of the one before can be taken for one of this.
@@ -72,21 +73,23 @@
     }
 
     /// Takes the next entry. What it was to somebody who waits for it; none where it is nobody's.
-    pub fn apply(&mut self, entry: &Entry, twice: bool) -> Result<Option<(CommandId, Outcome)>, Unknown> {
+    pub fn apply(
+        &mut self, entry: &Entry, twice: bool,
+    ) -> Result<Option<(CommandId, Outcome)>, UnknownCommand> {
         let outcome = match &entry.what {
-            What::Nothing => None,
-            What::Seat { voter, name } => {
+            EntryPayload::Nothing => None,
+            EntryPayload::Seat { voter, name } => {
                 self.voters.insert(*voter, name.clone());
                 None
             }
-            What::Unseat { voter } => {
+            EntryPayload::Unseat { voter } => {
                 self.voters.remove(voter);
                 None
             }
-            What::Command(command) => self.command(entry.index, command, twice)?,
+            EntryPayload::Command(command) => self.command(entry.index, command, twice)?,
         };
         (self.index, self.term) = (entry.index, entry.term);
-        if self.index.is_multiple_of(DIGEST_EVERY) {
+        if self.index.is_multiple_of(DIGEST_INTERVAL) {
             self.digests.push_back((self.index, self.parts()));
             if self.digests.len() > DIGESTS {
                 self.digests.pop_front();
@@ -97,18 +100,18 @@
 
     fn command(
         &mut self, index: u64, command: &Command, twice: bool,
-    ) -> Result<Option<(CommandId, Outcome)>, Unknown> {
+    ) -> Result<Option<(CommandId, Outcome)>, UnknownCommand> {
         if let Some(known) = self.ids.get(&command.id).filter(|_| !twice) {
             return Ok(Some((command.id, known.clone())));
         }
         let outcome = match command.kind {
             BARRIER => Outcome::Done(index),
             SET => self.set(index, command).map_or_else(Outcome::SetAside, |()| Outcome::Done(index)),
-            kind => return Err(Unknown { index, kind }),
+            kind => return Err(UnknownCommand { index, kind }),
         };
         if command.kind != BARRIER && self.ids.insert(command.id, outcome.clone()).is_none() {
             self.order.push_back(command.id);
-            if self.order.len() > IDS_MOST {
+            if self.order.len() > MAX_REMEMBERED_IDS {
                 self.order.pop_front().map(|oldest| self.ids.remove(&oldest));
             }
         }
@@ -116,18 +119,18 @@
     }
 
     fn set(&mut self, index: u64, command: &Command) -> Result<(), Refusal> {
-        if command.body.len() > BODY_MOST {
+        if command.body.len() > MAX_BODY_BYTES {
             return Err(Refusal::Malformed);
         }
         let set: Set = postcard::from_bytes(&command.body).map_err(|_| Refusal::Malformed)?;
-        if set.key.is_empty() || set.key.len() > KEY_MOST {
+        if set.key.is_empty() || set.key.len() > MAX_KEY_BYTES {
             return Err(Refusal::Key);
         }
         let stands = self.register.get(&set.key).map_or(0, |value| value.revision);
         if set.expect.is_some_and(|expect| expect != stands) {
             return Err(Refusal::Revision(stands));
         }
-        if stands == 0 && self.register.len() >= VALUES_MOST {
+        if stands == 0 && self.register.len() >= MAX_VALUES {
             return Err(Refusal::Full);
         }
         if set.value.is_empty() {
@@ -153,7 +156,7 @@
         self.ids.get(&id)
     }
 
-    fn parts(&self) -> [u32; PARTS.len()] {
+    fn parts(&self) -> [u32; STATE_PARTS.len()] {
         let sum = |bytes: Result<Vec<u8>, postcard::Error>| bytes.map_or(0, |bytes| crc32c::crc32c(&bytes));
         [
             sum(postcard::to_stdvec(&self.voters)),
@@ -163,29 +166,29 @@
     }
 
     /// The last digest: as of which index, and of each part.
-    pub fn digest(&self) -> Option<(u64, [u32; PARTS.len()])> {
+    pub fn digest(&self) -> Option<(u64, [u32; STATE_PARTS.len()])> {
         self.digests.back().copied()
     }
 
     /// The first part that differs from a digest of another node, where both have one of the same index.
-    pub fn differs(&self, index: u64, parts: &[u32; PARTS.len()]) -> Option<&'static str> {
+    pub fn first_difference(&self, index: u64, parts: &[u32; STATE_PARTS.len()]) -> Option<&'static str> {
         let (_, own) = self.digests.iter().find(|(at, _)| *at == index)?;
         let first = own.iter().zip(parts).position(|(own, other)| own != other)?;
-        PARTS.get(first).copied()
+        STATE_PARTS.get(first).copied()
     }
 
     /// The whole, to be kept or sent.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// A whole that was kept or sent; none if it is not one.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
     /// Spoils a part, as a bad memory would; for tests of the comparison.
-    pub fn spoil(&mut self) {
+    pub fn corrupt_for_test(&mut self) {
         self.register.insert("spoilt".to_owned(), Value { revision: 1, value: vec![1] });
     }
 }
--- a/crates/replicated-log/src/command.rs
+++ b/crates/replicated-log/src/command.rs
@@ -4,9 +4,9 @@
 use thiserror::Error;
 
 /// Bytes of a command's body at most: it travels in one datagram with what says where it belongs.
-pub const BODY_MOST: usize = 640;
+pub const MAX_BODY_BYTES: usize = 640;
 /// Bytes of a key at most.
-pub const KEY_MOST: usize = 64;
+pub const MAX_KEY_BYTES: usize = 64;
 
 /// Names a command; the same id takes effect once, however often it is sent.
 pub type CommandId = u128;
@@ -60,24 +60,24 @@
     #[error("the register is full: take out a value that nobody needs")]
     Full,
     /// No value can have that name.
-    #[error("the key is empty or over {KEY_MOST} bytes: choose another")]
+    #[error("the key is empty or over {MAX_KEY_BYTES} bytes: choose another")]
     Key,
 }
 
 /// Why a command cannot be sent at all.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unsent {
+pub enum ProposalError {
     /// Too long for one datagram.
-    #[error("{0} bytes, {BODY_MOST} at most: split it")]
-    Long(usize),
+    #[error("{0} bytes, {MAX_BODY_BYTES} at most: split it")]
+    TooLong(usize),
     /// No more wait here.
     #[error(
         "too many commands wait here for an answer: see whether the group has a majority, then try again"
     )]
-    Busy,
+    QueueFull,
     /// It could not be told from others.
     #[error("id 0 stands for no command: draw another")]
-    Id,
+    ReservedId,
 }
 
 /// An agreed command at its place.
@@ -88,12 +88,12 @@
     /// The term in which it was agreed.
     pub term: u64,
     /// What it is.
-    pub what: What,
+    pub what: EntryPayload,
 }
 
 /// What stands at a place of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum EntryPayload {
     /// A leader's first entry, which changes nothing.
     Nothing,
     /// A command.
--- a/crates/replicated-log/src/config.rs
+++ b/crates/replicated-log/src/config.rs
@@ -21,11 +21,11 @@
     /// The node's name.
     pub name: Name,
     /// The number of this start: greater than that of any before on this disk.
-    pub run: u64,
+    pub start_number: u64,
     /// Names of the nodes that may vote, the same at every node.
     pub candidates: Vec<Name>,
     /// How many of them vote: 3, 5 or 7.
-    pub voters: usize,
+    pub voter_count: usize,
 }
 
 /// What the membership says of a node, as it is seen here.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub struct Tuning {
     /// Between two ticks of the consensus.
-    pub tick: Nanos,
+    pub tick_interval: Nanos,
     /// Ticks without a leader until an election, and up to as many more, drawn.
     pub election_ticks: usize,
     /// Ticks between a leader's heartbeats.
@@ -55,15 +55,15 @@
     /// A voter gone for so long is replaced.
     pub replace_after: Nanos,
     /// Between a follower's pulls.
-    pub pull: Nanos,
+    pub pull_interval: Nanos,
     /// Without news from its parent, a follower asks a voter.
-    pub stale: Nanos,
+    pub stale_after: Nanos,
     /// Between two sends of a command that is not confirmed.
-    pub resend: Nanos,
+    pub resend_interval: Nanos,
     /// After so long a command that is not confirmed is given up: it may still come to be.
-    pub give_up: Nanos,
+    pub proposal_timeout: Nanos,
     /// Applied entries kept for those behind.
-    pub keep: u64,
+    pub retained_entries: u64,
     /// Children of a node in the tree.
     pub fan_out: usize,
     /// Planted defects, for tests of the checkers; none in the product.
@@ -88,15 +88,15 @@
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            tick: 50 * MS,
+            tick_interval: 50 * MS,
             election_ticks: 8,
             heartbeat_ticks: 2,
             replace_after: 10 * SECOND,
-            pull: SECOND,
-            stale: 2 * SECOND,
-            resend: 300 * MS,
-            give_up: 10 * SECOND,
-            keep: 1_024,
+            pull_interval: SECOND,
+            stale_after: 2 * SECOND,
+            resend_interval: 300 * MS,
+            proposal_timeout: 10 * SECOND,
+            retained_entries: 1_024,
             fan_out: 8,
             defect: None,
         }
@@ -106,12 +106,12 @@
 impl Identity {
     /// Votes that decide in a full group.
     pub fn majority(&self) -> usize {
-        self.voters / 2 + 1
+        self.voter_count / 2 + 1
     }
 
     /// So many candidates, this one among them, must hold no group before one is founded: any majority of an older
     /// group meets them.
-    pub fn asked(&self) -> usize {
+    pub fn founding_quorum(&self) -> usize {
         self.candidates.len() + 1 - self.majority().min(self.candidates.len())
     }
 
--- a/crates/replicated-log/src/durable/mod.rs
+++ b/crates/replicated-log/src/durable/mod.rs
@@ -6,16 +6,16 @@
 
 use std::collections::BTreeMap;
 
-use merlinfold_store::{Disk, Fault as DiskFault, File};
+use merlinfold_store::{Disk, File, StoreError as DiskFault};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::applied::Applied;
+use crate::applied::AppliedState;
 use crate::replica::Save;
 use crate::wire::{Group, RaftEntry};
 
 /// Entries in a file.
-pub const SEGMENT: u64 = 64;
+pub const SEGMENT_ENTRIES: u64 = 64;
 const FILES: u64 = 64;
 const FORM: u8 = 1;
 const META: &str = "agree";
@@ -23,7 +23,7 @@
 
 /// The first file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Meta {
+pub struct ReplicaMetadata {
     /// The log.
     pub group: Group,
     /// The number of the replica; 0: none.
@@ -40,12 +40,12 @@
 
 /// One file to be replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Write {
+pub struct FileWrite {
     name: String,
     bytes: Vec<u8>,
 }
 
-impl Write {
+impl FileWrite {
     /// Replaces it. Without a fault it survives a crash.
     pub fn save(&self, disk: &dyn Disk, owner: &str) -> Result<(), DiskFault> {
         File::new(&self.name, owner, FORM).save(disk, &self.bytes)
@@ -54,7 +54,7 @@
 
 /// Why what stands on the disk is not believed. The node begins as a voter with a new number and fetches the state.
 #[derive(Debug, Error)]
-pub enum Doubt {
+pub enum LoadError {
     /// A file cannot be believed.
     #[error("{file}: {fault}; if the disk is well nothing is to be done, the state is fetched from others")]
     File {
@@ -65,74 +65,80 @@
     },
     /// Entries are missing.
     #[error("entry {0} is missing or out of order; nothing is to be done, the state is fetched from others")]
-    Gap(u64),
+    MissingEntry(u64),
     /// Something cannot be read.
     #[error("{0} is of another form; nothing is to be done, the state is fetched from others")]
-    Form(&'static str),
+    Malformed(&'static str),
 }
 
 /// What was kept.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct StoredLog {
     /// The replica.
-    pub meta: Meta,
+    pub meta: ReplicaMetadata,
     /// The state before the log.
-    pub state: Applied,
+    pub state: AppliedState,
     /// The log.
     pub entries: Vec<RaftEntry>,
 }
 
 fn load<T: serde::de::DeserializeOwned>(
     disk: &dyn Disk, owner: &str, name: &str, what: &'static str,
-) -> Result<Option<T>, Doubt> {
+) -> Result<Option<T>, LoadError> {
     let bytes = File::new(name, owner, FORM).load::<Vec<u8>>(disk);
-    let bytes = bytes.map_err(|fault| Doubt::File { file: name.to_owned(), fault })?;
-    bytes.map(|bytes| postcard::from_bytes(&bytes).map_err(|_| Doubt::Form(what))).transpose()
+    let bytes = bytes.map_err(|fault| LoadError::File { file: name.to_owned(), fault })?;
+    bytes.map(|bytes| postcard::from_bytes(&bytes).map_err(|_| LoadError::Malformed(what))).transpose()
 }
 
-impl Kept {
+impl StoredLog {
     /// Reads all; with it, why it is not believed, if so. A state that can be read is right even then: it is agreed.
-    pub fn load(disk: &dyn Disk, owner: &str) -> (Kept, Option<Doubt>) {
-        let state = match load::<Applied>(disk, owner, STATE, "the state") {
+    pub fn load(disk: &dyn Disk, owner: &str) -> (StoredLog, Option<LoadError>) {
+        let state = match load::<AppliedState>(disk, owner, STATE, "the state") {
             Ok(state) => state,
-            Err(doubt) => return (Kept::default(), Some(doubt)),
+            Err(doubt) => return (StoredLog::default(), Some(doubt)),
         };
-        let only = |state: Option<Applied>| Kept { state: state.unwrap_or_default(), ..Kept::default() };
-        let meta = match load::<Meta>(disk, owner, META, "the seat") {
+        let only = |state: Option<AppliedState>| StoredLog {
+            state: state.unwrap_or_default(),
+            ..StoredLog::default()
+        };
+        let meta = match load::<ReplicaMetadata>(disk, owner, META, "the seat") {
             Ok(Some(meta)) => meta,
             Ok(None) => return (only(state), None),
             Err(doubt) => return (only(state), Some(doubt)),
         };
-        let Some(state) = state else { return (only(None), Some(Doubt::Form("the state"))) };
+        let Some(state) = state else { return (only(None), Some(LoadError::Malformed("the state"))) };
         match entries(disk, owner, &meta, state.index) {
-            Ok(entries) => (Kept { meta, state, entries }, None),
-            Err(doubt) => (Kept { state, ..Kept::default() }, Some(doubt)),
+            Ok(entries) => (StoredLog { meta, state, entries }, None),
+            Err(doubt) => (StoredLog { state, ..StoredLog::default() }, Some(doubt)),
         }
     }
 }
 
-fn entries(disk: &dyn Disk, owner: &str, meta: &Meta, base: u64) -> Result<Vec<RaftEntry>, Doubt> {
+fn entries(
+    disk: &dyn Disk, owner: &str, meta: &ReplicaMetadata, base: u64,
+) -> Result<Vec<RaftEntry>, LoadError> {
     let (mut next, last) = (base + 1, meta.log.1);
     let mut entries: Vec<RaftEntry> = Vec::new();
     if meta.log.0 > next {
-        return Err(Doubt::Gap(next));
+        return Err(LoadError::MissingEntry(next));
     }
     while next <= last {
-        let name = segment(next / SEGMENT);
-        let stored: Vec<RaftEntry> = load(disk, owner, &name, "the log")?.ok_or(Doubt::Gap(next))?;
+        let name = segment(next / SEGMENT_ENTRIES);
+        let stored: Vec<RaftEntry> =
+            load(disk, owner, &name, "the log")?.ok_or(LoadError::MissingEntry(next))?;
         let before = next;
         for entry in
             stored.into_iter().skip_while(|entry| entry.index < before).take_while(|e| e.index <= last)
         {
             let term = entries.last().map_or(0, |entry| entry.term);
             if entry.index != next || entry.term < term {
-                return Err(Doubt::Gap(next));
+                return Err(LoadError::MissingEntry(next));
             }
             entries.push(entry);
             next += 1;
         }
         if next == before {
-            return Err(Doubt::Gap(next));
+            return Err(LoadError::MissingEntry(next));
         }
     }
     Ok(entries)
@@ -143,26 +149,26 @@
     format!("agree-log-{}", number % FILES)
 }
 
-fn write(name: &str, value: &impl Serialize) -> Write {
-    Write { name: name.to_owned(), bytes: postcard::to_stdvec(value).unwrap_or_default() }
+fn write(name: &str, value: &impl Serialize) -> FileWrite {
+    FileWrite { name: name.to_owned(), bytes: postcard::to_stdvec(value).unwrap_or_default() }
 }
 
 /// What a node's disk holds, as far as it has been told.
 #[derive(Clone, Debug, Default)]
-pub struct Image {
+pub struct DiskImage {
     /// The first file.
-    pub meta: Meta,
+    pub meta: ReplicaMetadata,
     entries: BTreeMap<u64, RaftEntry>,
 }
 
-impl Image {
+impl DiskImage {
     /// Of a replica that has just been started, or of what was kept.
-    pub fn new(meta: Meta, entries: Vec<RaftEntry>) -> Self {
-        Image { meta, entries: entries.into_iter().map(|entry| (entry.index, entry)).collect() }
+    pub fn new(meta: ReplicaMetadata, entries: Vec<RaftEntry>) -> Self {
+        DiskImage { meta, entries: entries.into_iter().map(|entry| (entry.index, entry)).collect() }
     }
 
     /// The files for a replica that begins after this state.
-    pub fn begin(&mut self, state: &Applied, entries: Vec<RaftEntry>) -> Vec<Write> {
+    pub fn begin(&mut self, state: &AppliedState, entries: Vec<RaftEntry>) -> Vec<FileWrite> {
         self.entries = entries.into_iter().map(|entry| (entry.index, entry)).collect();
         self.bound(state.index);
         let mut writes = vec![write(STATE, state)];
@@ -172,7 +178,7 @@
     }
 
     /// The files for what the consensus wants kept.
-    pub fn keep(&mut self, save: &Save) -> Vec<Write> {
+    pub fn keep(&mut self, save: &Save) -> Vec<FileWrite> {
         let mut writes = Vec::new();
         if let Some(hard) = save.hard {
             self.meta.hard = hard;
@@ -192,14 +198,14 @@
     }
 
     /// The files for a state that takes the place of the entries in it.
-    pub fn compact(&mut self, state: &Applied) -> Vec<Write> {
+    pub fn compact(&mut self, state: &AppliedState) -> Vec<FileWrite> {
         self.entries = self.entries.split_off(&(state.index + 1));
         self.meta.log = (state.index + 1, self.meta.log.1.max(state.index));
         vec![write(STATE, state), write(META, &self.meta)]
     }
 
     /// The first file alone.
-    pub fn replica(&self) -> Vec<Write> {
+    pub fn replica(&self) -> Vec<FileWrite> {
         vec![write(META, &self.meta)]
     }
 
@@ -208,11 +214,11 @@
         self.meta.log = (base + 1, last.unwrap_or(base));
     }
 
-    fn segments(&self, from: u64) -> Vec<Write> {
+    fn segments(&self, from: u64) -> Vec<FileWrite> {
         let mut writes = Vec::new();
-        let mut number = from / SEGMENT;
-        while self.entries.range(number * SEGMENT..).next().is_some() {
-            let of = self.entries.range(number * SEGMENT..(number + 1) * SEGMENT);
+        let mut number = from / SEGMENT_ENTRIES;
+        while self.entries.range(number * SEGMENT_ENTRIES..).next().is_some() {
+            let of = self.entries.range(number * SEGMENT_ENTRIES..(number + 1) * SEGMENT_ENTRIES);
             let of: Vec<&RaftEntry> = of.map(|(_, entry)| entry).collect();
             if !of.is_empty() {
                 writes.push(write(&segment(number), &of));
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -16,6 +16,8 @@
 mod wire;
 
 pub use config::{Defect, Identity, Name, Nanos, Peer, Tuning, MS, SECOND};
-pub use durable::{Doubt, Kept, Meta, Write};
-pub use machine::{Action, Agree, Event, Note, Standing};
-pub use wire::{encode, read, Body, Envelope, Fault, Group, Raft, RaftEntry, MAX_DATAGRAM, VERSION};
+pub use durable::{FileWrite, LoadError, ReplicaMetadata, StoredLog};
+pub use machine::{Action, Event, Notification, ReplicatedLog, Status};
+pub use wire::{
+    decode, encode, Body, DatagramError, Envelope, Group, RaftEntry, RaftMessage, MAX_DATAGRAM, VERSION,
+};
--- a/crates/replicated-log/src/machine/founding.rs
+++ b/crates/replicated-log/src/machine/bootstrap.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Action, Agree};
+use super::{Action, ReplicatedLog};
 use crate::config::{Defect, Nanos, MS, SECOND};
 use crate::wire::{Body, Group};
 
@@ -20,7 +20,7 @@
     pub index: u64,
 }
 
-impl Agree {
+impl ReplicatedLog {
     /// A voter slot in a group that can decide no more is free: so many of its voters' nodes vote by other numbers that
     /// less than a majority is left.
     pub(super) fn free(&mut self, now: Nanos, out: &mut Vec<Action>) {
@@ -67,10 +67,10 @@
             return self.pull_from(now, name, out);
         }
         let none = 1 + self.words.values().filter(|word| !word.holds).count();
-        if none < self.id.asked().max(self.id.majority()) && !alone {
+        if none < self.id.founding_quorum().max(self.id.majority()) && !alone {
             return;
         }
-        let first = &self.id.candidates[..self.id.voters.min(self.id.candidates.len())];
+        let first = &self.id.candidates[..self.id.voter_count.min(self.id.candidates.len())];
         let place = |name: &str| first.iter().position(|of| **of == *name);
         let Some(own) = place(&self.id.name) else { return };
         let rank = |group: Group, index: u64, place: usize| (group.epoch, index, usize::MAX - place);
@@ -94,10 +94,10 @@
             voters = [(self.voter, self.id.name.to_string())].into();
         }
         let number = self.rng.u64(1..);
-        self.applied = std::mem::take(&mut self.applied).found(number, voters);
+        self.applied = std::mem::take(&mut self.applied).with_new_group(number, voters);
         self.tail.clear();
         (self.told, self.offered) = (self.applied.index, None);
-        out.push(Action::Tell(super::Note::Jumped(self.group(), self.applied.index)));
+        out.push(Action::Notify(super::Notification::StateReplaced(self.group(), self.applied.index)));
         self.sit(now, out);
     }
 }
--- a/crates/replicated-log/src/machine/voting.rs
+++ b/crates/replicated-log/src/machine/local_replica.rs
@@ -1,21 +1,21 @@
 //! A voter's replica: started, kept through a restart, and given up.
 
-use super::{Action, Agree, Note, Saving};
+use super::{Action, Notification, ReplicatedLog, Saving};
 use crate::command::Entry;
 use crate::config::{Defect, Name, Nanos, MS};
-use crate::durable::{Image, Kept, Meta, Write};
+use crate::durable::{DiskImage, FileWrite, ReplicaMetadata, StoredLog};
 use crate::replica::{Output, Replica};
-use crate::wire::{Body, Group, Raft};
+use crate::wire::{Body, Group, RaftMessage};
 
 const HELLO_EVERY: Nanos = 300 * MS;
 const THAW_EVERY: Nanos = 1_000 * MS;
 const FROZEN_LONG: Nanos = 5_000 * MS; // a voter slot that waits for so long is for others to take
 const MAX_SEEN: usize = 64; // numbers of which a start is remembered
 
-impl Agree {
+impl ReplicatedLog {
     /// Goes on from a disk that is believed: under the old number, if others let it in.
-    pub(super) fn resume(&mut self, kept: Kept, out: &mut Vec<Action>) {
-        let Kept { mut meta, state, entries } = kept;
+    pub(super) fn resume(&mut self, kept: StoredLog, out: &mut Vec<Action>) {
+        let StoredLog { mut meta, state, entries } = kept;
         self.applied = state;
         self.told = self.applied.index;
         self.seen = meta.seen.clone();
@@ -33,18 +33,20 @@
                     self.hello = Some(Default::default());
                 }
                 Err(_) => {
-                    out.push(Action::Tell(Note::Doubted("the consensus does not start from it")));
-                    meta = Meta { seen: meta.seen, ..Meta::default() };
+                    out.push(Action::Notify(Notification::StorageRejected(
+                        "the consensus does not start from it",
+                    )));
+                    meta = ReplicaMetadata { seen: meta.seen, ..ReplicaMetadata::default() };
                 }
             }
         }
-        let image = Image::new(meta, entries);
+        let image = DiskImage::new(meta, entries);
         let writes = image.replica();
         self.image = Some(image);
         self.save(Saving::Aside, writes, out);
     }
 
-    pub(super) fn save(&mut self, what: Saving, writes: Vec<Write>, out: &mut Vec<Action>) {
+    pub(super) fn save(&mut self, what: Saving, writes: Vec<FileWrite>, out: &mut Vec<Action>) {
         (self.saving, self.saving_since) = (Some(what), self.now);
         out.push(Action::Persist(writes));
     }
@@ -56,7 +58,7 @@
         if heard.len() >= voters / 2 {
             self.hello = None;
             self.next.tick = now;
-            out.push(Action::Tell(Note::Seat(Some(self.voter))));
+            out.push(Action::Notify(Notification::VoterSlot(Some(self.voter))));
             return;
         }
         if now < self.next.hello {
@@ -97,7 +99,9 @@
             return;
         }
         if seen > starts {
-            out.push(Action::Tell(Note::Doubted("others know a later start: the disk is from before")));
+            out.push(Action::Notify(Notification::StorageRejected(
+                "others know a later start: the disk is from before",
+            )));
             self.leave(out);
         } else if let Some(heard) = &mut self.hello {
             heard.insert(from);
@@ -137,7 +141,7 @@
     /// Gives the number up for good, on the disk too. What is agreed is still held.
     pub(super) fn leave(&mut self, out: &mut Vec<Action>) {
         if self.replica.take().is_some() {
-            out.push(Action::Tell(Note::Seat(None)));
+            out.push(Action::Notify(Notification::VoterSlot(None)));
         }
         self.hello = None;
         // A number that was put out does not come back: it may be remembered as gone.
@@ -171,14 +175,15 @@
         if let Some(image) = &mut self.image {
             let starts = if image.meta.voter == voter { image.meta.starts } else { 1 };
             let seen = self.seen.clone();
-            image.meta = Meta { group, voter, starts, hard: (hard.0, hard.1, 0), log: (0, 0), seen };
+            image.meta =
+                ReplicaMetadata { group, voter, starts, hard: (hard.0, hard.1, 0), log: (0, 0), seen };
             let writes = image.begin(&self.applied, kept);
             self.save(Saving::Replica, writes, out);
         }
         let fresh = self.replica.is_none();
         self.replica = Some(replica);
         if fresh {
-            out.push(Action::Tell(Note::Seat(Some(voter))));
+            out.push(Action::Notify(Notification::VoterSlot(Some(voter))));
         }
     }
 
@@ -195,7 +200,8 @@
     }
 
     pub(super) fn raft(
-        &mut self, now: Nanos, from: &Name, group: Group, starts: u64, message: Raft, out: &mut Vec<Action>,
+        &mut self, now: Nanos, from: &Name, group: Group, starts: u64, message: RaftMessage,
+        out: &mut Vec<Action>,
     ) {
         self.saw(message.sender(), starts);
         if self.names.len() >= MAX_SEEN {
@@ -224,7 +230,7 @@
         let Some(replica) = &mut self.replica else { return };
         if now >= self.next.tick {
             // Time that was lost is not made up for: a node that was held up has not waited for anybody.
-            self.next.tick = now + self.tuning.tick;
+            self.next.tick = now + self.tuning.tick_interval;
             replica.tick();
         }
     }
@@ -259,7 +265,7 @@
         self.carry(now, messages, agreed, out);
     }
 
-    fn carry(&mut self, now: Nanos, messages: Vec<Raft>, agreed: Vec<Entry>, out: &mut Vec<Action>) {
+    fn carry(&mut self, now: Nanos, messages: Vec<RaftMessage>, agreed: Vec<Entry>, out: &mut Vec<Action>) {
         let starts = self.image.as_ref().map_or(0, |image| image.meta.starts);
         for message in messages {
             let Some(name) = self.node_of(message.to()) else { continue };
@@ -274,7 +280,7 @@
     fn apply_early(&mut self, now: Nanos, entries: &[crate::wire::RaftEntry], out: &mut Vec<Action>) {
         for entry in entries.iter().filter_map(|entry| entry.entry()) {
             if let Ok(command) = postcard::from_bytes(&entry.data) {
-                let what = crate::command::What::Command(command);
+                let what = crate::command::EntryPayload::Command(command);
                 self.apply(now, Entry { index: entry.index, term: entry.term, what }, out);
             }
         }
@@ -300,7 +306,7 @@
             // After a failed sync nobody knows what the disk holds: it is not asked again by this process.
             // Nothing that rests on it was sent. What failed may stand there or not: all is written anew, as new files.
             if self.frozen.is_none() {
-                out.push(Action::Tell(Note::Doubted(
+                out.push(Action::Notify(Notification::StorageRejected(
                     "a write failed: the seat waits until the disk takes all anew",
                 )));
             }
--- a/crates/replicated-log/src/machine/mod.rs
+++ b/crates/replicated-log/src/machine/mod.rs
@@ -1,23 +1,23 @@
 //! A node's part in the log: events and time go in, actions come out.
 
-mod following;
-mod founding;
-mod proposing;
-mod voters;
-mod voting;
+mod bootstrap;
+mod local_replica;
+mod proposals;
+mod replication;
+mod voter_replacement;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use crate::applied::{Applied, Unknown};
+use crate::applied::{AppliedState, UnknownCommand};
 use crate::command::{Command, CommandId, Entry, Outcome};
 use crate::config::{Identity, Name, Nanos, Peer, Tuning};
-use crate::durable::{Image, Kept, Write};
+use crate::durable::{DiskImage, FileWrite, StoredLog};
 use crate::replica::Replica;
 use crate::wire::{self, encode, Body, Envelope, Group};
-use following::{Child, Fetch};
-use founding::Word;
-use proposing::Proposal;
+use bootstrap::Word;
+use proposals::Proposal;
+use replication::{Child, Fetch};
 
 /// What a node is told.
 #[derive(Debug)]
@@ -45,67 +45,67 @@
         bytes: Vec<u8>,
     },
     /// Write these files in this order, and tell whether they are durable. At most one is under way.
-    Persist(Vec<Write>),
+    Persist(Vec<FileWrite>),
     /// Something that others may want to know.
-    Tell(Note),
+    Notify(Notification),
 }
 
 /// What others may want to know.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Notification {
     /// The state here has taken this entry.
     Applied(Entry),
     /// The state here has jumped to this log and place.
-    Jumped(Group, u64),
+    StateReplaced(Group, u64),
     /// What came of a command that was proposed here.
     Outcome(CommandId, Outcome),
     /// Nobody has confirmed it in time; it may still come to be, and may be proposed again by the same id.
-    GivenUp(CommandId),
+    ProposalTimedOut(CommandId),
     /// This node has taken a voter slot, or has given it up.
-    Seat(Option<u64>),
+    VoterSlot(Option<u64>),
     /// This node leads in this term, or no longer.
-    Leads(Option<u64>),
+    Leadership(Option<u64>),
     /// Nothing after this entry is applied here: upgrade the node.
-    Halted(Unknown),
+    Halted(UnknownCommand),
     /// A copy differed as of this entry and is fetched anew: which node's, and which part.
-    Differs(Name, u64, String),
+    StateDiverged(Name, u64, String),
     /// What stands on the disk is not believed, for this reason.
-    Doubted(&'static str),
+    StorageRejected(&'static str),
 }
 
 /// How the log stands here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct Status {
     /// Which log.
     pub group: Group,
     /// The last entry applied here.
     pub index: u64,
     /// The last entry that anybody told of.
-    pub told: u64,
+    pub latest_announced: u64,
     /// Whether what is held here is as new as anybody told within the last while; else it is old.
-    pub fresh: bool,
+    pub is_current: bool,
     /// The number of the voter slot.
-    pub seat: Option<u64>,
+    pub voter_slot: Option<u64>,
     /// Whether this node leads.
-    pub leads: bool,
+    pub is_leader: bool,
     /// Voters, by number, with their nodes' names.
     pub voters: BTreeMap<u64, String>,
 }
 
 /// One node's part.
-pub struct Agree {
+pub struct ReplicatedLog {
     id: Identity,
     tuning: Tuning,
     rng: fastrand::Rng,
     peers: BTreeMap<Name, Peer>,
-    applied: Applied,
+    applied: AppliedState,
     tail: VecDeque<Entry>,
     told: u64,
     heard: Nanos, // when somebody last told something of this log
-    halted: Option<Unknown>,
+    halted: Option<UnknownCommand>,
     replica: Option<Replica>,
     voter: u64, // the number by which this node votes, or would
-    image: Option<Image>,
+    image: Option<DiskImage>,
     saving: Option<Saving>,
     saving_since: Nanos,
     now: Nanos,                                      // when this node last had its turn
@@ -122,7 +122,7 @@
     gone: BTreeMap<u64, Nanos>,
     led: Option<u64>,
     next: Next,
-    faults: BTreeMap<wire::Fault, u64>,
+    faults: BTreeMap<wire::DatagramError, u64>,
     sent_bytes: u64,
 }
 
@@ -148,21 +148,21 @@
     free: Nanos,
 }
 
-impl Agree {
+impl ReplicatedLog {
     /// A node that has just started; `kept` is what its disk held and is believed, none without a lasting disk.
     pub fn new(
-        id: Identity, tuning: Tuning, kept: Option<Kept>, seed: u64, now: Nanos, out: &mut Vec<Action>,
+        id: Identity, tuning: Tuning, kept: Option<StoredLog>, seed: u64, now: Nanos, out: &mut Vec<Action>,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let fresh = rng.u64(1..);
         let next =
             Next { pull: now, ask: now, look: now, tick: now, hello: now, thaw: now, later: now, free: now };
-        let mut node = Agree {
+        let mut node = ReplicatedLog {
             id,
             tuning,
             rng,
             peers: BTreeMap::new(),
-            applied: Applied::default(),
+            applied: AppliedState::default(),
             tail: VecDeque::new(),
             told: 0,
             heard: 0,
@@ -203,9 +203,13 @@
         self.now = now;
         match event {
             Event::Tick => {}
-            Event::Datagram(bytes) => match wire::read(bytes) {
-                Ok(envelope) if envelope.cluster != self.id.cluster => self.fault(wire::Fault::Foreign),
-                Ok(envelope) if envelope.to != self.id.name => self.fault(wire::Fault::Misdirected),
+            Event::Datagram(bytes) => match wire::decode(bytes) {
+                Ok(envelope) if envelope.cluster != self.id.cluster => {
+                    self.fault(wire::DatagramError::WrongCluster)
+                }
+                Ok(envelope) if envelope.to != self.id.name => {
+                    self.fault(wire::DatagramError::WrongRecipient)
+                }
                 Ok(envelope) => self.hear(now, envelope, out),
                 Err(fault) => self.fault(fault),
             },
@@ -219,7 +223,7 @@
     }
 
     /// When it next wants a tick.
-    pub fn due(&self) -> Nanos {
+    pub fn next_deadline(&self) -> Nanos {
         let is_voter = self.replica.is_some() && self.hello.is_none() && self.frozen.is_none();
         let mut due = self.next.pull.min(self.next.look);
         if is_voter {
@@ -239,7 +243,7 @@
 
     /// After so long others may have chosen another leader.
     fn patience(&self) -> Nanos {
-        self.tuning.tick * self.tuning.election_ticks as u64
+        self.tuning.tick_interval * self.tuning.election_ticks as u64
     }
 
     /// The node of a voter.
@@ -248,12 +252,12 @@
         known.or_else(|| self.names.get(&voter).cloned())
     }
 
-    fn fault(&mut self, fault: wire::Fault) {
+    fn fault(&mut self, fault: wire::DatagramError) {
         *self.faults.entry(fault).or_default() += 1;
     }
 
     /// Datagrams without effect, by reason.
-    pub fn faults(&self) -> &BTreeMap<wire::Fault, u64> {
+    pub fn rejected_datagrams(&self) -> &BTreeMap<wire::DatagramError, u64> {
         &self.faults
     }
 
@@ -263,13 +267,13 @@
     }
 
     /// The state.
-    pub fn state(&self) -> &Applied {
+    pub fn state(&self) -> &AppliedState {
         &self.applied
     }
 
     /// For tests of the comparison of copies.
-    pub fn spoil(&mut self) {
-        self.applied.spoil();
+    pub fn corrupt_for_test(&mut self) {
+        self.applied.corrupt_for_test();
     }
 
     /// Which log this node holds.
@@ -278,21 +282,21 @@
     }
 
     /// How the log stands here.
-    pub fn standing(&self, now: Nanos) -> Standing {
-        Standing {
+    pub fn status(&self, now: Nanos) -> Status {
+        Status {
             group: self.group(),
             index: self.applied.index,
-            told: self.told.max(self.applied.index),
-            fresh: self.applied.index >= self.told
-                && now.saturating_sub(self.heard) <= self.tuning.stale + self.tuning.pull,
-            seat: self.replica.as_ref().map(|replica| replica.voter),
-            leads: self.leads().is_some(),
+            latest_announced: self.told.max(self.applied.index),
+            is_current: self.applied.index >= self.told
+                && now.saturating_sub(self.heard) <= self.tuning.stale_after + self.tuning.pull_interval,
+            voter_slot: self.replica.as_ref().map(|replica| replica.voter),
+            is_leader: self.leading_term().is_some(),
             voters: self.applied.voters.clone(),
         }
     }
 
     /// Everything about the replica in a line, for whoever looks for a fault.
-    pub fn inside(&self) -> String {
+    pub fn debug_summary(&self) -> String {
         let replica = self.replica.as_ref().map(Replica::inside);
         let (saving, frozen, hello) = (self.saving, self.frozen, &self.hello);
         format!(
@@ -302,12 +306,12 @@
     }
 
     /// The term in which this node leads.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leading_term(&self) -> Option<u64> {
         self.replica.as_ref().filter(|replica| replica.leads() && self.frozen.is_none()).map(Replica::term)
     }
 
     /// What this node's number has voted for, by term, where that is durable: nobody was told before.
-    pub fn vote(&self) -> Option<(u64, u64, u64)> {
+    pub fn durable_vote(&self) -> Option<(u64, u64, u64)> {
         let replica = self.replica.as_ref().filter(|_| self.saving.is_none() && self.frozen.is_none())?;
         let (term, vote) = replica.hard();
         Some((replica.voter, term, vote)).filter(|_| vote != 0)
@@ -337,10 +341,10 @@
             self.told = self.told.max(index);
         }
         let later = group != self.group()
-            && following::rank(group, index) > following::rank(self.group(), self.applied.index);
+            && replication::rank(group, index) > replication::rank(self.group(), self.applied.index);
         if later && now >= self.next.later && !self.is_bound_to_another(group) {
             // A later log, whoever tells of it: the one that is held here decides nothing any more.
-            self.next.later = now + self.tuning.pull / 4;
+            self.next.later = now + self.tuning.pull_interval / 4;
             self.pull_from(now, from.clone(), out);
         }
         match body {
@@ -377,13 +381,13 @@
         self.push(now, out);
         self.resend(now, out);
         if now >= self.next.look {
-            self.next.look = now + self.tuning.pull;
+            self.next.look = now + self.tuning.pull_interval;
             self.replace(now, out);
         }
-        let leads = self.leads();
+        let leads = self.leading_term();
         if leads != self.led {
             self.led = leads;
-            out.push(Action::Tell(Note::Leads(leads)));
+            out.push(Action::Notify(Notification::Leadership(leads)));
         }
     }
 }
--- a/crates/replicated-log/src/machine/proposing.rs
+++ b/crates/replicated-log/src/machine/proposals.rs
@@ -1,12 +1,12 @@
 //! Commands that are proposed here, on their way to the leader until the state here has them.
 
-use super::{Action, Agree, Note};
-use crate::command::{Command, CommandId, Outcome, Unsent, BODY_MOST};
+use super::{Action, Notification, ReplicatedLog};
+use crate::command::{Command, CommandId, Outcome, ProposalError, MAX_BODY_BYTES};
 use crate::config::{Defect, Name, Nanos};
 use crate::wire::Body;
 
 /// Commands that wait here for an answer.
-pub const PROPOSALS_MOST: usize = 256;
+pub const MAX_PROPOSALS: usize = 256;
 
 const MAX_HOPS: u8 = 2;
 
@@ -18,31 +18,31 @@
     pub next: Nanos,
 }
 
-impl Agree {
+impl ReplicatedLog {
     /// Whether a command could be proposed here now.
-    pub fn takes(&self, command: &Command) -> Result<(), Unsent> {
-        if command.body.len() > BODY_MOST {
-            return Err(Unsent::Long(command.body.len()));
+    pub fn check_proposal(&self, command: &Command) -> Result<(), ProposalError> {
+        if command.body.len() > MAX_BODY_BYTES {
+            return Err(ProposalError::TooLong(command.body.len()));
         }
         if command.id == 0 {
-            return Err(Unsent::Id);
+            return Err(ProposalError::ReservedId);
         }
-        if self.proposals.len() >= PROPOSALS_MOST && !self.proposals.contains_key(&command.id) {
-            return Err(Unsent::Busy);
+        if self.proposals.len() >= MAX_PROPOSALS && !self.proposals.contains_key(&command.id) {
+            return Err(ProposalError::QueueFull);
         }
         Ok(())
     }
 
     pub(super) fn take(&mut self, now: Nanos, command: Command, out: &mut Vec<Action>) {
         let id = command.id;
-        if self.takes(&command).is_err() {
-            return out.push(Action::Tell(Note::GivenUp(id)));
+        if self.check_proposal(&command).is_err() {
+            return out.push(Action::Notify(Notification::ProposalTimedOut(id)));
         }
         if let Some(outcome) = self.applied.outcome(id).cloned() {
-            return out.push(Action::Tell(Note::Outcome(id, outcome)));
+            return out.push(Action::Notify(Notification::Outcome(id, outcome)));
         }
         if self.tuning.defect == Some(Defect::ConfirmsEarly) {
-            out.push(Action::Tell(Note::Outcome(id, Outcome::Done(self.applied.index + 1))));
+            out.push(Action::Notify(Notification::Outcome(id, Outcome::Done(self.applied.index + 1))));
         }
         self.proposals.entry(id).or_insert(Proposal { command, since: now, next: now });
     }
@@ -53,12 +53,12 @@
             self.proposals.iter().filter(|(_, proposal)| proposal.next <= now).map(|(id, _)| *id).collect();
         for id in due {
             let Some(proposal) = self.proposals.get_mut(&id) else { continue };
-            if now.saturating_sub(proposal.since) >= self.tuning.give_up {
+            if now.saturating_sub(proposal.since) >= self.tuning.proposal_timeout {
                 self.proposals.remove(&id);
-                out.push(Action::Tell(Note::GivenUp(id)));
+                out.push(Action::Notify(Notification::ProposalTimedOut(id)));
                 continue;
             }
-            proposal.next = now + self.tuning.resend;
+            proposal.next = now + self.tuning.resend_interval;
             let command = proposal.command.clone();
             self.passed_on(&command, 0, out);
         }
@@ -100,7 +100,7 @@
 
     pub(super) fn confirm(&mut self, id: CommandId, outcome: Outcome, out: &mut Vec<Action>) {
         if self.proposals.remove(&id).is_some() {
-            out.push(Action::Tell(Note::Outcome(id, outcome)));
+            out.push(Action::Notify(Notification::Outcome(id, outcome)));
         }
     }
 }
--- a/crates/replicated-log/src/machine/following.rs
+++ b/crates/replicated-log/src/machine/replication.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{Action, Agree, Note};
-use crate::applied::{Applied, PARTS};
+use super::{Action, Notification, ReplicatedLog};
+use crate::applied::{AppliedState, STATE_PARTS};
 use crate::command::{CommandId, Entry};
 use crate::config::{Defect, Name, Nanos, MS, SECOND};
-use crate::wire::{Body, Group, ENTRIES_MOST, MAX_DATAGRAM, PIECE};
+use crate::wire::{Body, Group, MAX_DATAGRAM, MAX_ENTRIES_BYTES, PIECE_BYTES};
 
 const CHILD_LASTS: Nanos = 3 * SECOND; // without a pull
 const MAX_CHILDREN: usize = 64;
@@ -43,7 +43,7 @@
     (group.epoch, index, group.number)
 }
 
-impl Agree {
+impl ReplicatedLog {
     /// From whom this node pulls: voters from the leader, others by their place in the tree.
     fn parent(&mut self, now: Nanos) -> Option<Name> {
         let own = &self.id.name;
@@ -53,7 +53,7 @@
             let leader = self.node_of(leader);
             return leader.filter(|leader| leader != own);
         }
-        let stale = now.saturating_sub(self.heard) > self.tuning.stale;
+        let stale = now.saturating_sub(self.heard) > self.tuning.stale_after;
         let roots: Vec<Name> = voters.into_iter().filter(|name| name != own && alive(name)).collect();
         if stale || roots.is_empty() || self.replica.is_some() {
             // Whoever it is: also nodes that only hold what is old, which may be newer than what is held here.
@@ -94,7 +94,7 @@
             return;
         }
         // Drawn apart, or all would ask at the same moment.
-        let pace = if behind { self.tuning.pull / 4 } else { self.tuning.pull };
+        let pace = if behind { self.tuning.pull_interval / 4 } else { self.tuning.pull_interval };
         self.next.pull = now + pace / 2 + self.rng.u64(0..pace);
         let follows = !self.is_led();
         if let Some(parent) = self.parent(now).filter(|_| follows) {
@@ -110,7 +110,7 @@
     /// Somebody says how far it is and wants what comes after.
     pub(super) fn pulled(
         &mut self, now: Nanos, from: Name, group: Group, index: u64,
-        digest: Option<(u64, [u32; PARTS.len()])>, out: &mut Vec<Action>,
+        digest: Option<(u64, [u32; STATE_PARTS.len()])>, out: &mut Vec<Action>,
     ) {
         if rank(group, index) > rank(self.group(), self.applied.index) {
             // It knows more than this node.
@@ -120,8 +120,8 @@
             return;
         }
         if let Some((at, parts)) = digest.filter(|_| group == self.group() && self.replica.is_some()) {
-            if let Some(part) = self.applied.differs(at, &parts) {
-                out.push(Action::Tell(Note::Differs(from.clone(), at, part.to_owned())));
+            if let Some(part) = self.applied.first_difference(at, &parts) {
+                out.push(Action::Notify(Notification::StateDiverged(from.clone(), at, part.to_owned())));
                 return self.send(&from, Body::Differs { index: at, part: part.to_owned() }, out);
             }
         }
@@ -137,7 +137,7 @@
         if group == self.group() && index + 1 >= kept {
             let skip = (index + 1 - kept) as usize;
             let mut entries = Vec::new();
-            let mut room = ENTRIES_MOST;
+            let mut room = MAX_ENTRIES_BYTES;
             for entry in self.tail.iter().skip(skip) {
                 let size = postcard::to_stdvec(entry).map_or(MAX_DATAGRAM, |bytes| bytes.len());
                 if size > room {
@@ -152,7 +152,7 @@
         let fits =
             |(at, _): &(u64, Arc<Vec<u8>>)| *at + 1 >= kept && rank(self.group(), *at) > rank(group, index);
         if !self.offered.as_ref().is_some_and(fits) {
-            self.offered = Some((self.applied.index, Arc::new(self.applied.bytes())));
+            self.offered = Some((self.applied.index, Arc::new(self.applied.to_bytes())));
         }
         let Some((index, bytes)) = self.offered.clone() else { return };
         let (length, sum) = (bytes.len() as u32, crc32c::crc32c(&bytes));
@@ -252,7 +252,8 @@
             return;
         }
         fetch.again = now + FETCH_AGAIN;
-        let missing = (0..fetch.length).step_by(PIECE).filter(|offset| !fetch.pieces.contains_key(offset));
+        let missing =
+            (0..fetch.length).step_by(PIECE_BYTES).filter(|offset| !fetch.pieces.contains_key(offset));
         let (missing, from, index): (Vec<u32>, _, _) =
             (missing.take(WINDOW).collect(), fetch.from.clone(), fetch.index);
         for offset in missing {
@@ -266,7 +267,7 @@
         if at != index || from_byte >= bytes.len() {
             return;
         }
-        let bytes = bytes[from_byte..bytes.len().min(from_byte + PIECE)].to_vec();
+        let bytes = bytes[from_byte..bytes.len().min(from_byte + PIECE_BYTES)].to_vec();
         self.send(from, Body::Piece { index, offset, bytes }, out);
     }
 
@@ -274,14 +275,14 @@
         &mut self, now: Nanos, from: &Name, index: u64, offset: u32, bytes: &[u8], out: &mut Vec<Action>,
     ) {
         let Some(fetch) = &mut self.fetch else { return };
-        let due = (fetch.length.saturating_sub(offset) as usize).min(PIECE);
-        let fits = offset.is_multiple_of(PIECE as u32) && offset < fetch.length && bytes.len() == due;
+        let due = (fetch.length.saturating_sub(offset) as usize).min(PIECE_BYTES);
+        let fits = offset.is_multiple_of(PIECE_BYTES as u32) && offset < fetch.length && bytes.len() == due;
         if fetch.index != index || fetch.from != *from || !fits {
             return;
         }
         fetch.pieces.insert(offset, bytes.to_vec());
         fetch.until = now + FETCH_LASTS;
-        let pieces = fetch.length.div_ceil(PIECE as u32) as usize;
+        let pieces = fetch.length.div_ceil(PIECE_BYTES as u32) as usize;
         if fetch.pieces.len() < pieces {
             if fetch.pieces.len().is_multiple_of(WINDOW) {
                 fetch.again = now;
@@ -294,13 +295,13 @@
         if crc32c::crc32c(&whole) != fetch.sum {
             return; // of two states that were never one; it begins anew
         }
-        if let Some(state) = Applied::read(&whole) {
+        if let Some(state) = AppliedState::from_bytes(&whole) {
             self.jump(state, out);
         }
     }
 
     /// Takes a whole state in place of the one here.
-    fn jump(&mut self, state: Applied, out: &mut Vec<Action>) {
+    fn jump(&mut self, state: AppliedState, out: &mut Vec<Action>) {
         let group = Group { epoch: state.epoch, number: state.group };
         if rank(group, state.index) <= rank(self.group(), self.applied.index) {
             return;
@@ -319,7 +320,7 @@
         self.tail.clear();
         (self.halted, self.offered) = (None, None);
         self.told = self.told.max(self.applied.index);
-        out.push(Action::Tell(Note::Jumped(self.group(), self.applied.index)));
+        out.push(Action::Notify(Notification::StateReplaced(self.group(), self.applied.index)));
         let known: Vec<CommandId> =
             self.proposals.keys().copied().filter(|id| self.applied.outcome(*id).is_some()).collect();
         for id in known {
@@ -339,8 +340,8 @@
         if group != self.group() || self.replica.is_some() {
             return;
         }
-        out.push(Action::Tell(Note::Differs(self.id.name.clone(), index, part)));
-        self.applied = Applied::default();
+        out.push(Action::Notify(Notification::StateDiverged(self.id.name.clone(), index, part)));
+        self.applied = AppliedState::default();
         self.tail.clear();
         (self.fetch, self.offered) = (None, None);
         self.pull_from(now, from, out);
@@ -356,7 +357,7 @@
         // Others may know what this version does not: what is agreed is passed on also where it is not applied.
         if entry.index == self.last_kept() + 1 {
             self.tail.push_back(entry.clone());
-            if self.tail.len() as u64 > self.tuning.keep {
+            if self.tail.len() as u64 > self.tuning.retained_entries {
                 self.tail.pop_front();
             }
         }
@@ -367,14 +368,14 @@
         match self.applied.apply(&entry, twice) {
             Ok(outcome) => {
                 self.told = self.told.max(self.applied.index);
-                out.push(Action::Tell(Note::Applied(entry)));
+                out.push(Action::Notify(Notification::Applied(entry)));
                 if let Some((id, outcome)) = outcome {
                     self.confirm(id, outcome, out);
                 }
             }
             Err(unknown) => {
                 self.halted = Some(unknown);
-                out.push(Action::Tell(Note::Halted(unknown)));
+                out.push(Action::Notify(Notification::Halted(unknown)));
             }
         }
     }
--- a/crates/replicated-log/src/machine/voters.rs
+++ b/crates/replicated-log/src/machine/voter_replacement.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeSet;
 
-use super::{Action, Agree};
+use super::{Action, ReplicatedLog};
 use crate::config::{Name, Nanos, SECOND};
 
 const CLOSE: u64 = 64; // entries behind, within which a candidate has caught up
 const WORD_LASTS: Nanos = 3 * SECOND;
 
-impl Agree {
+impl ReplicatedLog {
     /// The leader asks the candidates, and proposes one change where one is due.
     pub(super) fn replace(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        if self.leads().is_none() || self.replica.as_ref().is_some_and(|replica| replica.is_saving()) {
+        if self.leading_term().is_none() || self.replica.as_ref().is_some_and(|replica| replica.is_saving()) {
             self.gone.clear();
             return;
         }
@@ -33,7 +33,7 @@
             self.gone.entry(*number).or_insert(now);
         }
         let Some(candidate) = self.candidate(&voters.values().cloned().collect(), &empty) else { return };
-        if voters.len() < self.id.voters {
+        if voters.len() < self.id.voter_count {
             let (number, name) = candidate;
             let (Some(replica), name) = (&mut self.replica, name.to_string()) else { return };
             replica.propose_voter(number, Some(&name));
--- a/crates/replicated-log/src/replica/mod.rs
+++ b/crates/replicated-log/src/replica/mod.rs
@@ -11,10 +11,10 @@
 use raft::{Config, RawNode, Ready, StateRole, Storage};
 use slog::{o, Discard, Logger};
 
-use crate::applied::Applied;
-use crate::command::{Command, Entry, What};
+use crate::applied::AppliedState;
+use crate::command::{Command, Entry, EntryPayload};
 use crate::config::Tuning;
-use crate::wire::{Raft, RaftEntry, ENTRIES_MOST};
+use crate::wire::{RaftEntry, RaftMessage, MAX_ENTRIES_BYTES};
 pub use store::Store;
 
 const MAX_INFLIGHT: usize = 32; // appends on the way to one voter
@@ -34,7 +34,7 @@
 #[derive(Default)]
 pub struct Output {
     /// To other voters.
-    pub messages: Vec<Raft>,
+    pub messages: Vec<RaftMessage>,
     /// Agreed, in order.
     pub agreed: Vec<Entry>,
     /// To be made durable; nothing more comes out until [`Replica::saved`].
@@ -54,7 +54,7 @@
     election: usize,
     keep: u64,
     out: Option<Ready>,
-    waiting: Vec<Raft>,
+    waiting: Vec<RaftMessage>,
     /// A leader says that the replica is too far behind for entries.
     pub behind: bool,
 }
@@ -67,7 +67,7 @@
 impl Replica {
     /// A replica whose log begins after `state`, with `entries` behind it.
     pub fn new(
-        voter: u64, state: &Applied, hard: (u64, u64), entries: &[RaftEntry], tuning: &Tuning, seed: u64,
+        voter: u64, state: &AppliedState, hard: (u64, u64), entries: &[RaftEntry], tuning: &Tuning, seed: u64,
     ) -> Result<Self, ReplicaError> {
         let store = Store::after(state, hard.0, hard.1);
         let kept: Option<Vec<_>> = entries.iter().map(RaftEntry::entry).collect();
@@ -84,7 +84,7 @@
             min_election_tick: tuning.election_ticks,
             max_election_tick: 2 * tuning.election_ticks,
             applied: state.index,
-            max_size_per_msg: ENTRIES_MOST as u64,
+            max_size_per_msg: MAX_ENTRIES_BYTES as u64,
             max_inflight_msgs: MAX_INFLIGHT,
             // Without a majority nothing is agreed, and what is sent again and again must not pile up.
             max_uncommitted_size: MAX_UNCOMMITTED,
@@ -103,7 +103,7 @@
             seed,
             ticks: 0,
             election: tuning.election_ticks,
-            keep: tuning.keep,
+            keep: tuning.retained_entries,
             out: None,
             waiting: Vec::new(),
             behind: false,
@@ -178,7 +178,7 @@
     }
 
     /// A message of another voter.
-    pub fn step(&mut self, message: Raft) {
+    pub fn step(&mut self, message: RaftMessage) {
         if self.out.is_some() {
             if self.waiting.len() < MAX_WAITING {
                 self.waiting.push(message);
@@ -241,7 +241,7 @@
             return out;
         }
         let mut ready = self.raw.ready();
-        out.messages.extend(ready.take_messages().iter().map(Raft::from));
+        out.messages.extend(ready.take_messages().iter().map(RaftMessage::from));
         self.tell_of_snapshots(&out.messages);
         for entry in ready.take_committed_entries() {
             self.agree(&entry, &mut out.agreed);
@@ -274,12 +274,12 @@
     pub fn saved(&mut self) -> Output {
         let mut out = Output::default();
         let Some(mut ready) = self.out.take() else { return out };
-        out.messages.extend(ready.take_persisted_messages().iter().map(Raft::from));
+        out.messages.extend(ready.take_persisted_messages().iter().map(RaftMessage::from));
         let mut light = self.raw.advance(ready);
         if let Some(commit) = light.commit_index() {
             self.store.commit(commit);
         }
-        out.messages.extend(light.take_messages().iter().map(Raft::from));
+        out.messages.extend(light.take_messages().iter().map(RaftMessage::from));
         self.tell_of_snapshots(&out.messages);
         for entry in light.take_committed_entries() {
             self.agree(&entry, &mut out.agreed);
@@ -292,7 +292,7 @@
     }
 
     /// A voter that is too far behind fetches the state by itself: the leader goes on trying with entries.
-    fn tell_of_snapshots(&mut self, messages: &[Raft]) {
+    fn tell_of_snapshots(&mut self, messages: &[RaftMessage]) {
         for message in messages.iter().filter(|message| message.is_snapshot()) {
             self.raw.report_snapshot(message.to(), raft::SnapshotStatus::Failure);
         }
@@ -300,25 +300,25 @@
 
     fn agree(&mut self, entry: &raft::eraftpb::Entry, agreed: &mut Vec<Entry>) {
         let what = match entry.get_entry_type() {
-            EntryType::EntryNormal if entry.data.is_empty() => What::Nothing,
+            EntryType::EntryNormal if entry.data.is_empty() => EntryPayload::Nothing,
             EntryType::EntryNormal => match postcard::from_bytes(&entry.data) {
-                Ok(command) => What::Command(command),
-                Err(_) => What::Nothing, // of a version that writes another form; the leader checks its own
+                Ok(command) => EntryPayload::Command(command),
+                Err(_) => EntryPayload::Nothing, // of a version that writes another form; the leader checks its own
             },
             _ => {
                 let mut change = ConfChange::default();
                 if change.merge_from_bytes(&entry.data).is_err() {
-                    What::Nothing
+                    EntryPayload::Nothing
                 } else {
                     if let Ok(conf) = self.raw.apply_conf_change(&change) {
                         self.store.set_conf(conf);
                     }
                     let voter = change.node_id;
                     match change.get_change_type() {
-                        ConfChangeType::RemoveNode => What::Unseat { voter },
+                        ConfChangeType::RemoveNode => EntryPayload::Unseat { voter },
                         _ => {
                             let name = String::from_utf8_lossy(&change.context).into_owned();
-                            What::Seat { voter, name }
+                            EntryPayload::Seat { voter, name }
                         }
                     }
                 }
--- a/crates/replicated-log/src/replica/store.rs
+++ b/crates/replicated-log/src/replica/store.rs
@@ -4,7 +4,7 @@
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage};
 
-use crate::applied::Applied;
+use crate::applied::AppliedState;
 
 /// The log of a replica. Clones share it.
 #[derive(Clone)]
@@ -12,7 +12,7 @@
 
 impl Store {
     /// A log that begins after this state, as a voter with this term and vote has it.
-    pub fn after(state: &Applied, term: u64, vote: u64) -> Self {
+    pub fn after(state: &AppliedState, term: u64, vote: u64) -> Self {
         let store = MemStorage::new();
         let mut base = Snapshot::default();
         let meta = base.mut_metadata();
@@ -65,7 +65,7 @@
 }
 
 /// Who votes by this state.
-pub fn conf(state: &Applied) -> ConfState {
+pub fn conf(state: &AppliedState) -> ConfState {
     ConfState { voters: state.voters.keys().copied().collect(), ..ConfState::default() }
 }
 
--- a/crates/replicated-log/src/wire.rs
+++ b/crates/replicated-log/src/wire.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::applied::PARTS;
+use crate::applied::STATE_PARTS;
 use crate::command::{Command, Entry};
 use crate::config::Name;
 
@@ -14,9 +14,9 @@
 /// Version of the form.
 pub const VERSION: u8 = 1;
 /// Bytes of a state that one datagram carries.
-pub const PIECE: usize = 900;
+pub const PIECE_BYTES: usize = 900;
 /// Bytes of entries that one datagram carries.
-pub const ENTRIES_MOST: usize = 900;
+pub const MAX_ENTRIES_BYTES: usize = 900;
 const MARK: [u8; 2] = *b"ma";
 const HEADER: usize = 7;
 
@@ -54,7 +54,7 @@
         /// How often the sender's disk says that it has started.
         starts: u64,
         /// What the consensus says.
-        message: Box<Raft>,
+        message: Box<RaftMessage>,
     },
     /// A voter that has started again: does anybody know a later start of its number?
     Hello {
@@ -91,7 +91,7 @@
     /// What came after that?
     Pull {
         /// The last digest here.
-        digest: Option<(u64, [u32; PARTS.len()])>,
+        digest: Option<(u64, [u32; STATE_PARTS.len()])>,
     },
     /// What came after it.
     Entries(Vec<Entry>),
@@ -131,7 +131,7 @@
 
 /// A message between voters: what [`eraftpb::Message`] says, without the content of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Raft {
+pub struct RaftMessage {
     kind: u8,
     to: u64,
     from: u64,
@@ -185,7 +185,7 @@
     }
 }
 
-impl Raft {
+impl RaftMessage {
     /// Which voter it is for.
     pub fn to(&self) -> u64 {
         self.to
@@ -255,9 +255,9 @@
     }
 }
 
-impl From<&eraftpb::Message> for Raft {
+impl From<&eraftpb::Message> for RaftMessage {
     fn from(message: &eraftpb::Message) -> Self {
-        Raft {
+        RaftMessage {
             kind: message.get_msg_type() as u8,
             to: message.to,
             from: message.from,
@@ -282,25 +282,25 @@
 
 /// Why a datagram has no effect. Each is counted; none needs anybody unless it keeps rising.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
-pub enum Fault {
+pub enum DatagramError {
     /// Cut short, or not of this form at all.
     #[error("cut short or of another form: see what else sends to this port")]
     Malformed,
     /// Longer than any.
     #[error("longer than any that this program sends: see what else sends to this port")]
-    Long,
+    TooLong,
     /// Damaged.
     #[error("its checksum does not fit: see the network")]
     Checksum,
     /// Of another version.
     #[error("of another version of the form: finish the upgrade")]
-    Version,
+    UnsupportedVersion,
     /// Of another fleet.
     #[error("of another fleet: see `cluster` at both ends")]
-    Foreign,
+    WrongCluster,
     /// For somebody else.
     #[error("for another node: the address was another's")]
-    Misdirected,
+    WrongRecipient,
 }
 
 /// A datagram; none where it would be too long, which bounds on all that goes into one rule out.
@@ -315,19 +315,19 @@
 }
 
 /// What a datagram says.
-pub fn read(bytes: &[u8]) -> Result<Envelope, Fault> {
+pub fn decode(bytes: &[u8]) -> Result<Envelope, DatagramError> {
     if bytes.len() > MAX_DATAGRAM {
-        return Err(Fault::Long);
+        return Err(DatagramError::TooLong);
     }
-    let (head, body) = bytes.split_at_checked(HEADER).ok_or(Fault::Malformed)?;
+    let (head, body) = bytes.split_at_checked(HEADER).ok_or(DatagramError::Malformed)?;
     if head[..2] != MARK {
-        return Err(Fault::Malformed);
+        return Err(DatagramError::Malformed);
     }
     if head[2] != VERSION {
-        return Err(Fault::Version);
+        return Err(DatagramError::UnsupportedVersion);
     }
     if crc32c::crc32c(body).to_le_bytes() != head[3..] {
-        return Err(Fault::Checksum);
+        return Err(DatagramError::Checksum);
     }
-    postcard::from_bytes(body).map_err(|_| Fault::Malformed)
+    postcard::from_bytes(body).map_err(|_| DatagramError::Malformed)
 }
--- a/crates/replicated-log/tests/machine.rs
+++ b/crates/replicated-log/tests/machine.rs
@@ -7,7 +7,7 @@
 
 use merlinfold_replicated_log::command::{Command, Outcome, Refusal, Set, SET};
 use merlinfold_replicated_log::{
-    Action, Agree, Event, Identity, Kept, Nanos, Note, Peer, Tuning, MS, SECOND,
+    Action, Event, Identity, Nanos, Notification, Peer, ReplicatedLog, StoredLog, Tuning, MS, SECOND,
 };
 use merlinfold_store::Disk;
 use proptest::prelude::*;
@@ -44,11 +44,11 @@
 /// Nodes on links that lose nothing.
 struct Net {
     now: Nanos,
-    nodes: Vec<Agree>,
+    nodes: Vec<ReplicatedLog>,
     disks: Vec<Files>,
     queue: VecDeque<(Nanos, usize, Vec<u8>)>,
     way: Nanos, // that a datagram takes
-    notes: Vec<(usize, Note)>,
+    notes: Vec<(usize, Notification)>,
 }
 
 impl Net {
@@ -70,13 +70,13 @@
 
     fn start(&mut self, node: usize, count: usize) {
         let name = format!("n{node}");
-        let (kept, doubt) = Kept::load(&self.disks[node], &name);
+        let (kept, doubt) = StoredLog::load(&self.disks[node], &name);
         assert!(doubt.is_none(), "{doubt:?}");
         let candidates = (0..3).map(|n| format!("n{n}").into()).collect();
-        let id = Identity { cluster: 1, name: name.into(), run: 1, candidates, voters: 3 };
+        let id = Identity { cluster: 1, name: name.into(), start_number: 1, candidates, voter_count: 3 };
         let mut out = Vec::new();
         let seed = self.now + node as u64;
-        let mut agree = Agree::new(id, Tuning::default(), Some(kept), seed, self.now, &mut out);
+        let mut agree = ReplicatedLog::new(id, Tuning::default(), Some(kept), seed, self.now, &mut out);
         let peers = (0..count).map(|n| Peer {
             name: format!("n{n}").into(),
             address: address(n),
@@ -106,7 +106,7 @@
                     writes.iter().for_each(|write| write.save(&self.disks[node], &name).unwrap());
                     self.feed(node, Event::Persisted(true));
                 }
-                Action::Tell(note) => self.notes.push((node, note)),
+                Action::Notify(note) => self.notes.push((node, note)),
             }
         }
     }
@@ -128,7 +128,7 @@
                 }
             }
             for node in 0..self.nodes.len() {
-                if self.nodes[node].due() <= self.now {
+                if self.nodes[node].next_deadline() <= self.now {
                     self.feed(node, Event::Tick);
                 }
             }
@@ -145,7 +145,7 @@
         self.feed(node, Event::Propose(command));
         self.pass(2 * SECOND);
         let told = self.notes.iter().rev().find_map(|(at, note)| match note {
-            Note::Outcome(of, outcome) if *at == node && *of == id => Some(outcome.clone()),
+            Notification::Outcome(of, outcome) if *at == node && *of == id => Some(outcome.clone()),
             _ => None,
         });
         told.expect("an outcome")
@@ -179,21 +179,21 @@
     net.feed(3, Event::Propose(Command { id: 2, kind: 900, body: Vec::new() }));
     net.pass(3 * SECOND);
     for node in 0..4 {
-        let halted = |(at, note): &(usize, Note)| {
+        let halted = |(at, note): &(usize, Notification)| {
             *at == node
-                && matches!(note, Note::Halted(unknown) if unknown.kind == 900 && unknown.index == before + 1)
+                && matches!(note, Notification::Halted(unknown) if unknown.kind == 900 && unknown.index == before + 1)
         };
         assert!(net.notes.iter().any(halted), "n{node}");
         assert_eq!(net.nodes[node].state().index, before);
     }
-    assert_eq!(net.nodes.iter().filter(|node| node.leads().is_some()).count(), 1, "the group goes on");
+    assert_eq!(net.nodes.iter().filter(|node| node.leading_term().is_some()).count(), 1, "the group goes on");
 }
 
 /// Guards copies: one that was spoilt is named by node, index and part within a minute, and is right again.
 #[test]
 fn a_copy_that_differs_is_named_and_fetched_anew() {
     let mut net = Net::new(5);
-    net.nodes[4].spoil();
+    net.nodes[4].corrupt_for_test();
     for n in 0..70 {
         net.feed(
             0,
@@ -207,8 +207,9 @@
         net.pass(20 * MS);
     }
     let begun = net.now;
-    let named = |(at, note): &(usize, Note)| {
-        *at != 4 && matches!(note, Note::Differs(node, _, part) if &**node == "n4" && part == "register")
+    let named = |(at, note): &(usize, Notification)| {
+        *at != 4
+            && matches!(note, Notification::StateDiverged(node, _, part) if &**node == "n4" && part == "register")
     };
     while !net.notes.iter().any(named) {
         assert!(net.now < begun + 60 * SECOND, "not within a minute");
@@ -304,7 +305,7 @@
             }
         }
         prop_assert_eq!(net.nodes[1].state(), &state);
-        prop_assert!(net.nodes[1].faults().values().sum::<u64>() >= noise.len() as u64);
+        prop_assert!(net.nodes[1].rejected_datagrams().values().sum::<u64>() >= noise.len() as u64);
         net.pass(3 * SECOND);
         prop_assert!(matches!(net.set(1, 2, "b", None), Outcome::Done(_)));
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -29,7 +29,7 @@
 const MARK: &[u8; 8] = b"mfstore\n";
 const FORM: u8 = 1;
 /// Bytes of a value at most.
-pub const VALUE_MOST: usize = 8 << 20;
+pub const MAX_VALUE_BYTES: usize = 8 << 20;
 
 /// Where files are. Every call is one step that can fail or be lost by itself.
 pub trait Disk {
@@ -64,7 +64,7 @@
             other => other?,
         };
         let mut bytes = Vec::new();
-        file.take(VALUE_MOST as u64 + 1_024).read_to_end(&mut bytes)?; // no more than could be valid
+        file.take(MAX_VALUE_BYTES as u64 + 1_024).read_to_end(&mut bytes)?; // no more than could be valid
         Ok(Some(bytes))
     }
 
@@ -87,9 +87,9 @@
 
 /// Why a file could not be believed.
 #[derive(Debug)]
-pub enum Fault {
+pub enum StoreError {
     /// The disk did not do what it was told.
-    Disk {
+    Io {
         /// At which step.
         step: &'static str,
         /// What it said.
@@ -98,23 +98,23 @@
     /// The file is not what it should be. It has been set aside.
     Unusable(&'static str),
     /// The value cannot be kept: too long, or of a kind that has no form.
-    Value,
+    InvalidValue,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Disk { step, error } => write!(f, "{step}: {error}"),
-            Fault::Unusable(why) => write!(f, "set aside: {why}"),
-            Fault::Value => f.write_str("the value cannot be kept"),
+            StoreError::Io { step, error } => write!(f, "{step}: {error}"),
+            StoreError::Unusable(why) => write!(f, "set aside: {why}"),
+            StoreError::InvalidValue => f.write_str("the value cannot be kept"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for StoreError {}
 
-fn at(step: &'static str) -> impl Fn(io::Error) -> Fault {
-    move |error| Fault::Disk { step, error }
+fn at(step: &'static str) -> impl Fn(io::Error) -> StoreError {
+    move |error| StoreError::Io { step, error }
 }
 
 /// One value on a disk.
@@ -136,17 +136,17 @@
         &self.name
     }
 
-    fn head(&self) -> Result<Vec<u8>, Fault> {
-        let owner = u8::try_from(self.owner.len()).map_err(|_| Fault::Value)?;
+    fn head(&self) -> Result<Vec<u8>, StoreError> {
+        let owner = u8::try_from(self.owner.len()).map_err(|_| StoreError::InvalidValue)?;
         Ok([&MARK[..], &[FORM, self.version, owner], self.owner.as_bytes()].concat())
     }
 
     /// Replaces the value. When this returns without a fault, it survives a crash; with one, the value from before
     /// is still there.
-    pub fn save(&self, disk: &dyn Disk, value: &impl Serialize) -> Result<(), Fault> {
-        let value = postcard::to_stdvec(value).map_err(|_| Fault::Value)?;
-        if value.len() > VALUE_MOST {
-            return Err(Fault::Value);
+    pub fn save(&self, disk: &dyn Disk, value: &impl Serialize) -> Result<(), StoreError> {
+        let value = postcard::to_stdvec(value).map_err(|_| StoreError::InvalidValue)?;
+        if value.len() > MAX_VALUE_BYTES {
+            return Err(StoreError::InvalidValue);
         }
         let mut bytes = self.head()?;
         bytes.extend((value.len() as u32).to_le_bytes());
@@ -160,11 +160,11 @@
     }
 
     /// The value; none if nothing was kept. What cannot be believed is set aside under another name.
-    pub fn load<T: DeserializeOwned>(&self, disk: &dyn Disk) -> Result<Option<T>, Fault> {
+    pub fn load<T: DeserializeOwned>(&self, disk: &dyn Disk) -> Result<Option<T>, StoreError> {
         let Some(bytes) = disk.read(&self.name).map_err(at("read"))? else { return Ok(None) };
         self.decode(&bytes).map(Some).map_err(|why| {
             match disk.rename(&self.name, &format!("{}.unusable", self.name)) {
-                Ok(()) => Fault::Unusable(why),
+                Ok(()) => StoreError::Unusable(why),
                 Err(error) => at("setting aside")(error),
             }
         })
@@ -234,7 +234,7 @@
                     bytes[at] ^= 1 << bit;
                 }
                 disk.write("view.mf", &bytes).unwrap();
-                prop_assert!(matches!(file.load::<Vec<String>>(&disk), Err(Fault::Unusable(_))));
+                prop_assert!(matches!(file.load::<Vec<String>>(&disk), Err(StoreError::Unusable(_))));
                 prop_assert!(matches!(file.load::<Vec<String>>(&disk), Ok(None)));
                 prop_assert!(disk.read("view.mf.unusable").unwrap().is_some());
             }
@@ -262,7 +262,7 @@
         file.save(&disk, &1u8).unwrap();
         std::os::unix::fs::symlink("/dev/full", own.0.join("view.mf.new")).unwrap();
         let fault = file.save(&disk, &2u8).unwrap_err();
-        assert!(matches!(fault, Fault::Disk { step: "write", .. }), "{fault}");
+        assert!(matches!(fault, StoreError::Io { step: "write", .. }), "{fault}");
         assert_eq!(file.load::<u8>(&disk).unwrap(), Some(1));
     }
 }
