--- a/crates/lab/src/capacity/point.rs
+++ b/crates/lab/src/capacity/point.rs
@@ -4,7 +4,7 @@
 
 use merlinfold_decide::interface::*;
 use merlinfold_node::list::List;
-use merlinfold_settings::{Env, Listed, Names};
+use merlinfold_settings::{NameTables, NamedServer, PlatformSettings};
 use serde::{Deserialize, Serialize};
 
 use super::fleet::{shares, Size};
@@ -138,20 +138,20 @@
 }
 
 fn number(list: &List) -> Vec<ServerEntry> {
-    let mut names = Names::default();
-    let listed = list.endpoints.iter().map(|line| Listed {
+    let mut names = NameTables::default();
+    let listed = list.endpoints.iter().map(|line| NamedServer {
         name: &line.name,
         zone: line.zone.as_deref(),
-        kind: line.kind.as_deref(),
+        host_type: line.kind.as_deref(),
         cell: line.group,
         readiness: line.status.into(),
         weight: line.weight,
-        since: line.since_ms,
+        started_at: line.since_ms,
     });
     listed.map(|line| names.server_entry(line)).collect()
 }
 
 fn read_settings(text: &str) -> Result<Settings, String> {
-    let env: Env = serde_json::from_str(text).map_err(|error| format!("settings: {error}"))?;
-    env.settings(&mut Names::default())
+    let env: PlatformSettings = serde_json::from_str(text).map_err(|error| format!("settings: {error}"))?;
+    env.decision_settings(&mut NameTables::default())
 }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -11,7 +11,7 @@
     Action, Event, ListKind, Readiness, Request, RequestId, ServerId, Status as Outcome,
 };
 use merlinfold_decide::policy::Balancer;
-use merlinfold_settings::{Env, Listed, Names};
+use merlinfold_settings::{NameTables, NamedServer, PlatformSettings};
 use merlinfold_world::clients::{Clients, End, Try};
 use merlinfold_world::discovery::{Listing, Status};
 use merlinfold_world::experiment::Experiment;
@@ -95,7 +95,7 @@
 
 struct Node {
     balancer: Balancer,
-    names: Names,
+    names: NameTables,
     life: u32,
     up: bool,
     leaving: bool,
@@ -177,13 +177,13 @@
 
 impl Node {
     fn new(day: &Experiment, node: usize, life: u32) -> Result<Self, String> {
-        let env: Env = serde_json::from_value(platform::settings(day, node))
+        let env: PlatformSettings = serde_json::from_value(platform::settings(day, node))
             .map_err(|error| format!("settings: {error}"))?;
-        let mut names = Names::default();
-        let settings = env.settings(&mut names)?;
+        let mut names = NameTables::default();
+        let settings = env.decision_settings(&mut names)?;
         // Servers are numbered as in the day.
         for server in 0..day.servers() {
-            names.servers.number(&platform::server_name(server));
+            names.servers.intern(&platform::server_name(server));
         }
         let seed = mix(day.seed ^ mix(node as u64 * 1_000 + u64::from(life)));
         Ok(Node {
@@ -460,10 +460,10 @@
         let mut entries = Vec::new();
         for entry in &listing.entries {
             let of_kind = &self.day.fleet.kinds[kinds[entry.server]];
-            entries.push(own.names.server_entry(Listed {
+            entries.push(own.names.server_entry(NamedServer {
                 name: &platform::server_name(entry.server),
                 zone: Some(&self.day.fleet.zones[self.day.zone_of_server(entry.server)]),
-                kind: Some(&of_kind.name),
+                host_type: Some(&of_kind.name),
                 cell: Some(entry.server as u64 / 4),
                 readiness: match entry.status {
                     Status::InService => Readiness::Ready,
@@ -471,7 +471,7 @@
                     Status::Terminated => Readiness::Gone,
                 },
                 weight: Some(of_kind.build.cores * of_kind.build.speed),
-                since: if entry.since == 0 { 0 } else { EPOCH + entry.since },
+                started_at: if entry.since == 0 { 0 } else { EPOCH + entry.since },
             }));
             if entry.status == Status::InService {
                 own.since.insert(entry.server, entry.since);
--- a/crates/node/src/configuration/baseline.rs
+++ b/crates/node/src/configuration/baseline.rs
@@ -3,7 +3,7 @@
 use merlinfold_decide::interface::{Class, ClassFigures, Figures, Nanos, Settings};
 use merlinfold_revision::bounds::WHOLE_SHARE;
 use merlinfold_revision::{ClassProperties, Document, Limit, Tenant, Unit};
-use merlinfold_settings::{Names, Numbering};
+use merlinfold_settings::{NameTable, NameTables};
 
 use super::tenants::TenantNumbers;
 use super::unsupported::Unsupported;
@@ -25,8 +25,8 @@
 /// What the node was started with.
 #[derive(Clone, Debug)]
 pub struct Baseline {
-    class_names: Numbering,
-    tenant_names: Numbering,
+    class_names: NameTable,
+    tenant_names: NameTable,
     classes: Vec<Class>,
     figures: Figures,
     open_requests: usize,
@@ -34,7 +34,7 @@
 
 impl Baseline {
     /// Of these settings.
-    pub fn new(settings: &Settings, names: &Names, open_requests: usize) -> Self {
+    pub fn new(settings: &Settings, names: &NameTables, open_requests: usize) -> Self {
         Baseline {
             class_names: names.classes.clone(),
             tenant_names: names.tenants.clone(),
--- a/crates/node/src/configuration/tenants.rs
+++ b/crates/node/src/configuration/tenants.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use merlinfold_revision::bounds::{MAX_NAME_BYTES, MAX_TENANTS};
-use merlinfold_settings::Numbering;
+use merlinfold_settings::NameTable;
 
 use super::unsupported::Unsupported;
 
@@ -22,7 +22,7 @@
 
 impl NamedTenant {
     /// The tenant of this name. Other names than those of the start are kept only where revisions may add tenants.
-    pub fn named(name: &str, started: &Numbering, may_be_added: bool) -> Option<Self> {
+    pub fn named(name: &str, started: &NameTable, may_be_added: bool) -> Option<Self> {
         match started.get(name) {
             Some(number) => Some(NamedTenant::Started(number)),
             None if may_be_added && name.len() <= MAX_NAME_BYTES => Some(NamedTenant::Other(name.into())),
--- a/crates/node/src/driver/configuration.rs
+++ b/crates/node/src/driver/configuration.rs
@@ -7,7 +7,7 @@
     /// revision before or all of this one.
     pub(super) fn reconfigure(&mut self, change: Change) {
         let Change { figures, open_requests, in_force } = change;
-        self.limits.open_requests = open_requests;
+        self.limits.max_open_requests = open_requests;
         self.in_force = in_force;
         self.handle(Event::Reconfigured(figures));
     }
--- a/crates/node/src/driver/lists.rs
+++ b/crates/node/src/driver/lists.rs
@@ -38,14 +38,14 @@
     }
 
     pub(super) fn entry(&mut self, line: &Endpoint, now: Nanos, unseen_at: Option<Nanos>) -> ServerEntry {
-        let mut entry = self.names.server_entry(Listed {
+        let mut entry = self.names.server_entry(NamedServer {
             name: &line.name,
             zone: line.zone.as_deref(),
-            kind: line.kind.as_deref(),
+            host_type: line.kind.as_deref(),
             cell: line.group,
             readiness: line.status.into(),
             weight: line.weight,
-            since: line.since_ms.saturating_mul(1_000_000), // the module's clock is Unix time
+            started_at: line.since_ms.saturating_mul(1_000_000), // the module's clock is Unix time
         });
         entry.since = self.starts.local(entry.id.0 as usize, entry.since, now, unseen_at);
         match self.servers.get_mut(entry.id.0 as usize) {
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -25,7 +25,7 @@
 use merlinfold_decide::interface::*;
 use merlinfold_decide::policy::Balancer;
 use merlinfold_fleet::Snapshot;
-use merlinfold_settings::{HostLimits, Listed, Names};
+use merlinfold_settings::{HostLimits, NameTables, NamedServer};
 
 mod configuration;
 mod lists;
@@ -58,7 +58,7 @@
 /// Owns the module and all that belongs to it.
 pub struct Driver {
     balancer: Balancer,
-    names: Names,
+    names: NameTables,
     clock: Clock,
     limits: HostLimits,
     pool: Pool,
@@ -90,10 +90,10 @@
 
 impl Driver {
     pub fn new(
-        balancer: Balancer, names: Names, clock: Clock, limits: HostLimits, capacity: Capacity,
+        balancer: Balancer, names: NameTables, clock: Clock, limits: HostLimits, capacity: Capacity,
         inputs: UnboundedSender<Input>,
     ) -> Self {
-        let life = Life::new(limits.longest_deadline);
+        let life = Life::new(limits.max_deadline);
         let figures = Figures::new(&names.classes);
         let (posture, _) = watch::channel(life.posture());
         Driver {
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -19,7 +19,7 @@
         let long = outgoing.upload().is_some();
         let attempts = Vec::new();
         let mut open = Open { class, client: Some(client), outgoing, deadline, attempts, relays: false };
-        if self.table.len() >= self.limits.open_requests {
+        if self.table.len() >= self.limits.max_open_requests {
             open.end(Some(Reply::Refused { retry_after: 0 }), &mut self.figures);
             return;
         }
--- a/crates/node/src/driver/tally.rs
+++ b/crates/node/src/driver/tally.rs
@@ -38,7 +38,7 @@
     }
 
     /// Writes a line if anything went other than well, and starts anew.
-    pub(super) fn report(&mut self, names: &Names, list: HeldList, totals: Totals) {
+    pub(super) fn report(&mut self, names: &NameTables, list: HeldList, totals: Totals) {
         let anew = Tally { requests: totals, ..Tally::default() };
         let Tally { requests, sent, endings, slowest, bad } = std::mem::replace(self, anew);
         let since = totals.since(&requests);
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use merlinfold_fleet::Snapshot;
-use merlinfold_settings::Numbering;
+use merlinfold_settings::NameTable;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
 
 impl Figures {
     /// All at 0, with each class in its place.
-    pub fn new(classes: &Numbering) -> Self {
+    pub fn new(classes: &NameTable) -> Self {
         let of = |name: &str| OfClass { name: name.to_owned(), ..OfClass::default() };
         Figures { classes: classes.names().map(of).collect(), written: Written::default() }
     }
@@ -154,9 +154,9 @@
 
     #[test]
     fn every_class_is_listed_from_the_start_and_what_was_taken_is_pending_or_ended() {
-        let mut names = Numbering::default();
-        names.number("read");
-        names.number("write");
+        let mut names = NameTable::default();
+        names.intern("read");
+        names.intern("write");
         let mut figures = Figures::new(&names);
         assert_eq!(
             figures.text(2, 1),
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -38,7 +38,7 @@
 use crate::stream::{is_transient, Heard, Shared};
 use crate::upstream::{AnswerBody, Outgoing, Payload, Relay};
 use merlinfold_decide::interface::{Nanos, RequestId, Settings};
-use merlinfold_settings::{Names, Numbering};
+use merlinfold_settings::{NameTable, NameTables};
 
 mod accept;
 mod answer;
@@ -69,8 +69,8 @@
 
 /// What the tasks of all client connections share.
 pub struct Front {
-    classes: Numbering,
-    tenants: Numbering,
+    classes: NameTable,
+    tenants: NameTable,
     adds_tenants: bool, // revisions of the configuration may name others
     deadlines: Vec<Nanos>,
     posture: watch::Receiver<Posture>,
@@ -84,8 +84,8 @@
 
 impl Front {
     pub fn new(
-        settings: &Settings, names: &Names, clock: Clock, inputs: UnboundedSender<Input>, capacity: Capacity,
-        posture: watch::Receiver<Posture>,
+        settings: &Settings, names: &NameTables, clock: Clock, inputs: UnboundedSender<Input>,
+        capacity: Capacity, posture: watch::Receiver<Posture>,
     ) -> Self {
         Front {
             classes: names.classes.clone(),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -39,7 +39,7 @@
 use merlinfold_decide::interface::{Discovery, Settings};
 use merlinfold_decide::policy::Balancer;
 use merlinfold_fleet::{Disks, Fleet, Snapshot};
-use merlinfold_settings::{Env, HostLimits, Names};
+use merlinfold_settings::{HostLimits, NameTables, PlatformSettings};
 
 const DEFAULT_MEMORY_MB: f64 = 32.0; // MB; taken where the configuration does not say
 const MIN_SOCKETS: usize = 64; // descriptors below which no useful node fits
@@ -59,7 +59,7 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     known: Option<list::List>,
-    settings: Env,
+    settings: PlatformSettings,
 }
 
 #[derive(Debug, Deserialize)]
@@ -81,14 +81,14 @@
         let from = &mut serde_json::Deserializer::from_str(text);
         let read: Result<Config, _> = serde_path_to_error::deserialize(from);
         let config = read.map_err(|error| format!("{}: {error}", error.inner().line()))?;
-        config.check(&mut Names::default()).map(drop).map_err(|fault| format!(" {fault}"))
+        config.check(&mut NameTables::default()).map(drop).map_err(|fault| format!(" {fault}"))
     }
 
     /// Whether a node could start from it, short of opening its sockets.
-    fn check(&self, names: &mut Names) -> Result<(HostLimits, Settings, u64), String> {
+    fn check(&self, names: &mut NameTables) -> Result<(HostLimits, Settings, u64), String> {
         let in_settings = |fault| format!("settings: {fault}");
         let host = self.settings.host_limits().map_err(in_settings)?;
-        let settings = self.settings.settings(names).map_err(in_settings)?;
+        let settings = self.settings.decision_settings(names).map_err(in_settings)?;
         let seed = u64::from_str_radix(&self.seed, 16).map_err(|error| format!("seed: {error}"))?;
         if self.limits.sockets < MIN_SOCKETS {
             return Err(format!("limits.sockets: under {MIN_SOCKETS}"));
@@ -108,7 +108,7 @@
     /// Takes over what the new text says, or nothing if no node could start from it.
     pub fn reload(&self, text: &str) -> Result<(), String> {
         let config = Config::parse(text)?;
-        config.check(&mut Names::default())?;
+        config.check(&mut NameTables::default())?;
         let discovery = config.discovery;
         let moved = self.0.send_if_modified(|now| std::mem::replace(now, discovery) != discovery);
         info!(%discovery, moved, "configuration read again");
@@ -137,7 +137,7 @@
     ///
     /// `folder` is what all processes of this node have in common; without it each is alone.
     pub async fn bind(config: Config, folder: Option<&Path>) -> Result<Self, String> {
-        let (mut names, clock) = (Names::default(), Clock::new());
+        let (mut names, clock) = (NameTables::default(), Clock::new());
         let (host, settings, seed) = config.check(&mut names)?;
         let cannot = |what, at| move |error: io::Error| format!("{what}: cannot use {at}: {error}");
         let socket = bind(config.listen).map_err(cannot("listen", config.listen))?;
@@ -161,7 +161,7 @@
         let discovery = discovery::Watcher::new(address, sender.clone(), retry, known);
         let memory = (config.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) * f64::from(1 << 20)) as usize; // saturates
         let capacity = capacity::Capacity::new(config.limits.sockets, memory, false);
-        let baseline = Baseline::new(&settings, &names, host.open_requests);
+        let baseline = Baseline::new(&settings, &names, host.max_open_requests);
         // The watcher alone asks for the list; to the module it comes by itself.
         let balancer = Balancer::new(Settings { discovery: Discovery::Push, ..settings.clone() }, seed);
         let mut driver =
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -28,7 +28,7 @@
 use crate::figures::Written;
 use crate::stream::Shared;
 use merlinfold_decide::interface::{LoadReport, Nanos, ServerId, Status};
-use merlinfold_settings::{set_figure, HostLimits};
+use merlinfold_settings::{set_load_metric, HostLimits};
 
 mod connection;
 mod outgoing;
--- a/crates/node/src/upstream/report.rs
+++ b/crates/node/src/upstream/report.rs
@@ -8,7 +8,7 @@
     let mut report = LoadReport::default();
     for (name, value) in figures.split(',').filter_map(|pair| pair.split_once('=')) {
         if let Some(value) = value.trim().parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0) {
-            set_figure(&mut report, name.trim(), value);
+            set_load_metric(&mut report, name.trim(), value);
         }
     }
     Some(report)
--- a/crates/node/tests/unit/configuration.rs
+++ b/crates/node/tests/unit/configuration.rs
@@ -3,14 +3,14 @@
 
 use merlinfold_decide::interface::Settings;
 use merlinfold_revision::{ClassProperties, Delta, Document, Limit, Revision, Route, Tenant, Unit};
-use merlinfold_settings::{Env, Names};
+use merlinfold_settings::{NameTables, PlatformSettings};
 use serde_json::{from_value, json};
 use tokio::sync::mpsc;
 
 use crate::input::{deliver_changes, Input};
 
 fn baseline() -> (Baseline, Settings) {
-    let env: Env = from_value(json!({
+    let env: PlatformSettings = from_value(json!({
         "Categories": [
             {"Name": "read", "Aim": 400_000_000u64, "GiveUp": 1_000_000_000u64, "Worth": 2.0},
             {"Name": "write", "Aim": 900_000_000u64, "GiveUp": 5_000_000_000u64}
@@ -19,8 +19,8 @@
         "Limits": {"MaxAttempts": 3},
     }))
     .unwrap();
-    let mut names = Names::default();
-    let settings = env.settings(&mut names).unwrap();
+    let mut names = NameTables::default();
+    let settings = env.decision_settings(&mut names).unwrap();
     (Baseline::new(&settings, &names, 100), settings)
 }
 
--- a/crates/node/tests/unit/console_configuration.rs
+++ b/crates/node/tests/unit/console_configuration.rs
@@ -5,7 +5,7 @@
     Applier, Baseline, FleetProgress, NotPublished, Publication, Publisher, Publishing, RevisionId,
 };
 use merlinfold_revision::{Delta, Document, Tenant};
-use merlinfold_settings::{Env, Names};
+use merlinfold_settings::{NameTables, PlatformSettings};
 use serde_json::{from_str, from_value, json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
@@ -51,13 +51,13 @@
 
 impl Console {
     async fn start() -> Self {
-        let env: Env = from_value(json!({
+        let env: PlatformSettings = from_value(json!({
             "Categories": [{"Name": "read", "Aim": 400_000_000u64, "GiveUp": 1_000_000_000u64}],
             "Limits": {"MaxAttempts": 3},
         }))
         .unwrap();
-        let mut names = Names::default();
-        let settings = env.settings(&mut names).unwrap();
+        let mut names = NameTables::default();
+        let settings = env.decision_settings(&mut names).unwrap();
         let (inputs, mut taken_in) = mpsc::unbounded_channel();
         let applier = Arc::new(Applier::new(
             Baseline::new(&settings, &names, 100),
--- a/crates/node/tests/unit/driver.rs
+++ b/crates/node/tests/unit/driver.rs
@@ -3,7 +3,7 @@
 use crate::upstream::Payload;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
-use merlinfold_settings::Env;
+use merlinfold_settings::PlatformSettings;
 use serde_json::{from_value, json};
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,13 +11,13 @@
 use tokio::sync::mpsc;
 
 fn driver() -> (Driver, UnboundedReceiver<Input>) {
-    let env: Env = from_value(json!({
+    let env: PlatformSettings = from_value(json!({
         "Categories": [{"Name": "read", "Aim": 4_000_000_000u64, "GiveUp": 5_000_000_000u64}],
         "Limits": {"ConnIdle": 30_000_000_000u64, "ConnectTimeout": 1_000_000_000, "MaxAttempts": 1}
     }))
     .unwrap();
-    let (mut names, clock, limits) = (Names::default(), Clock::new(), env.host_limits().unwrap());
-    let balancer = Balancer::new(env.settings(&mut names).unwrap(), 1);
+    let (mut names, clock, limits) = (NameTables::default(), Clock::new(), env.host_limits().unwrap());
+    let balancer = Balancer::new(env.decision_settings(&mut names).unwrap(), 1);
     let (sender, inputs) = mpsc::unbounded_channel();
     let capacity = Capacity::new(256, 32 << 20, false);
     (Driver::new(balancer, names, clock, limits, capacity, sender), inputs)
--- a/crates/node/tests/unit/front.rs
+++ b/crates/node/tests/unit/front.rs
@@ -7,8 +7,8 @@
 /// What a peer gets that sends this and then nothing more, and after which time the connection ends.
 async fn sent(text: &str) -> (String, Duration) {
     let (inputs, _held) = tokio::sync::mpsc::unbounded_channel();
-    let mut names = Names::default();
-    names.classes.number("read");
+    let mut names = NameTables::default();
+    names.classes.intern("read");
     let class = Class {
         aim: 4_000_000_000,
         deadline: 5_000_000_000,
--- a/crates/node/tests/unit/reconfigured.rs
+++ b/crates/node/tests/unit/reconfigured.rs
@@ -5,20 +5,20 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use merlinfold_revision::{ClassProperties, Document, Limit, Tenant, Unit};
-use merlinfold_settings::Env;
+use merlinfold_settings::PlatformSettings;
 use proptest::prelude::*;
 use serde_json::{from_value, json};
 use tokio::sync::mpsc;
 
 fn driver() -> (Driver, ActiveRevision) {
-    let env: Env = from_value(json!({
+    let env: PlatformSettings = from_value(json!({
         "Categories": [{"Name": "read", "Aim": 4_000_000_000u64, "GiveUp": 5_000_000_000u64}],
         "Limits": {"ConnIdle": 30_000_000_000u64, "ConnectTimeout": 1_000_000_000, "MaxAttempts": 3}
     }))
     .unwrap();
-    let (mut names, clock, limits) = (Names::default(), Clock::new(), env.host_limits().unwrap());
-    let settings = env.settings(&mut names).unwrap();
-    let active = ActiveRevision::new(Baseline::new(&settings, &names, limits.open_requests));
+    let (mut names, clock, limits) = (NameTables::default(), Clock::new(), env.host_limits().unwrap());
+    let settings = env.decision_settings(&mut names).unwrap();
+    let active = ActiveRevision::new(Baseline::new(&settings, &names, limits.max_open_requests));
     let (sender, _) = mpsc::unbounded_channel();
     let capacity = Capacity::new(256, 32 << 20, false);
     let balancer = Balancer::new(settings, 1);
@@ -84,7 +84,7 @@
             }
             let in_force = &driver.in_force;
             prop_assert_eq!(&*in_force.document, &document(number));
-            prop_assert_eq!(driver.limits.open_requests, number as usize);
+            prop_assert_eq!(driver.limits.max_open_requests, number as usize);
             for tenant in 1..=number + 1 {
                 let known = in_force.tenant(NamedTenant::Other(format!("tenant-{tenant}").into()));
                 prop_assert_eq!(known.is_some(), tenant == number);
--- a/crates/node/tests/unit/upstream.rs
+++ b/crates/node/tests/unit/upstream.rs
@@ -41,9 +41,9 @@
         let limits = HostLimits {
             connect_timeout: 0,
             idle_timeout: 30_000_000_000,
-            open_requests: 1,
+            max_open_requests: 1,
             drain_grace: 0,
-            longest_deadline: 0,
+            max_deadline: 0,
             ramp_time: 0,
         };
         let mut pool = Pool::new(slots.clone(), limits, clock);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,7 +15,8 @@
 /// The settings object, as it is written.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Env {
+#[serde(expecting = "a settings object")]
+pub struct PlatformSettings {
     #[serde(default)]
     balancers: u32,
     #[serde(default)]
@@ -113,27 +114,27 @@
     /// After which idle time a server closes a connection.
     pub idle_timeout: Nanos,
     /// Requests that may be open at once.
-    pub open_requests: usize,
+    pub max_open_requests: usize,
     /// How long sends may go on to a server that drains or is gone.
     pub drain_grace: Nanos,
     /// The longest time that a client waits for an answer.
-    pub longest_deadline: Nanos,
+    pub max_deadline: Nanos,
     /// After which a server that has started is warm.
     pub ramp_time: Nanos,
 }
 
-impl Env {
+impl PlatformSettings {
     /// What the module is told; gives the names in it their numbers.
-    pub fn settings(&self, names: &mut Names) -> Result<Settings, String> {
+    pub fn decision_settings(&self, names: &mut NameTables) -> Result<Settings, String> {
         for zone in &self.zones {
-            names.zones.number(zone);
+            names.zones.intern(zone);
         }
         for kind in &self.host_types {
-            names.kinds.number(kind);
+            names.host_types.intern(kind);
         }
         let mut classes = Vec::new();
         for category in &self.categories {
-            names.classes.number(&category.name);
+            names.classes.intern(&category.name);
             let effect = match category.semantics.as_deref() {
                 Some("repeatable") => Effect::Safe,
                 Some("by_key") => Effect::Keyed {
@@ -155,13 +156,13 @@
                 late_worth: category.late_value.unwrap_or(0.0),
                 effect,
                 placement: Placement {
-                    zones: names.zones.list(&category.zones_allowed),
-                    kinds: names.kinds.list(&category.runs_on),
+                    zones: names.zones.intern_all(&category.zones_allowed),
+                    kinds: names.host_types.intern_all(&category.runs_on),
                 },
             });
         }
         let tenants = self.tenants.iter().map(|tenant| {
-            names.tenants.number(&tenant.name);
+            names.tenants.intern(&tenant.name);
             Tenant { quota_per_s: tenant.quota_per_s.filter(|&q| q > 0.0).unwrap_or(f64::INFINITY) }
         });
         let tenants = tenants.collect();
@@ -171,7 +172,7 @@
             (free, share) => Some(AttemptBudget {
                 free: free.unwrap_or(0.0),
                 share: share.unwrap_or(0.0),
-                span: need(stated.budget_span, "BudgetSpan")?,
+                span: require_field(stated.budget_span, "BudgetSpan")?,
             }),
         };
         Ok(Settings {
@@ -179,7 +180,7 @@
             nodes: self.balancers.max(1),
             classes,
             tenants,
-            zone: names.zones.number(self.locality.as_deref().unwrap_or("")) as u16,
+            zone: names.zones.intern(self.locality.as_deref().unwrap_or("")) as u16,
             over_share_worth: self.over_share_worth.unwrap_or(1.0),
             discovery: match self.discovery.as_deref() {
                 Some("ask") => Discovery::Ask,
@@ -210,31 +211,31 @@
             return Err("field Categories is missing or empty".to_owned());
         }
         Ok(HostLimits {
-            connect_timeout: need(self.limits.connect_timeout, "Limits.ConnectTimeout")?,
-            idle_timeout: need(self.limits.conn_idle, "Limits.ConnIdle")?,
-            open_requests: self.limits.open_cap.unwrap_or(usize::MAX),
+            connect_timeout: require_field(self.limits.connect_timeout, "Limits.ConnectTimeout")?,
+            idle_timeout: require_field(self.limits.conn_idle, "Limits.ConnIdle")?,
+            max_open_requests: self.limits.open_cap.unwrap_or(usize::MAX),
             drain_grace: self.obligations.stop_sending_within,
             ramp_time: self.obligations.ramp_time,
-            longest_deadline: self.categories.iter().map(|category| category.give_up).max().unwrap_or(0),
+            max_deadline: self.categories.iter().map(|category| category.give_up).max().unwrap_or(0),
         })
     }
 }
 
 /// A field that has to be there.
-pub fn need<T>(value: Option<T>, field: &str) -> Result<T, String> {
+pub fn require_field<T>(value: Option<T>, field: &str) -> Result<T, String> {
     value.ok_or_else(|| format!("field {field} is missing"))
 }
 
 /// Names to numbers, in the order of first sight.
 #[derive(Clone, Debug, Default)]
-pub struct Numbering {
+pub struct NameTable {
     numbers: BTreeMap<String, usize>,
     names: Vec<String>,
 }
 
-impl Numbering {
+impl NameTable {
     /// The number of a name, a new one if it is new.
-    pub fn number(&mut self, name: &str) -> usize {
+    pub fn intern(&mut self, name: &str) -> usize {
         if let Some(known) = self.get(name) {
             return known;
         }
@@ -261,34 +262,34 @@
 
     /// A name that no server has yet still gets a number of its own, so that a list of such names
     /// allows nothing rather than everything.
-    fn list(&mut self, names: &Option<Vec<String>>) -> Option<Vec<u16>> {
-        names.as_ref().map(|names| names.iter().map(|name| self.number(name) as u16).collect())
+    fn intern_all(&mut self, names: &Option<Vec<String>>) -> Option<Vec<u16>> {
+        names.as_ref().map(|names| names.iter().map(|name| self.intern(name) as u16).collect())
     }
 }
 
 /// The names that one node has met.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTables {
     /// Of request classes.
-    pub classes: Numbering,
+    pub classes: NameTable,
     /// Of tenants.
-    pub tenants: Numbering,
+    pub tenants: NameTable,
     /// Of zones.
-    pub zones: Numbering,
+    pub zones: NameTable,
     /// Of kinds of machine.
-    pub kinds: Numbering,
+    pub host_types: NameTable,
     /// Of servers.
-    pub servers: Numbering,
+    pub servers: NameTable,
 }
 
 /// A line of the server list, with its names.
-pub struct Listed<'a> {
+pub struct NamedServer<'a> {
     /// The server.
     pub name: &'a str,
     /// Its zone.
     pub zone: Option<&'a str>,
     /// Its kind of machine.
-    pub kind: Option<&'a str>,
+    pub host_type: Option<&'a str>,
     /// Its cell.
     pub cell: Option<u64>,
     /// Whether it takes work.
@@ -296,29 +297,29 @@
     /// Registered size.
     pub weight: Option<f64>,
     /// When it last started, on the module's clock; 0: long ago.
-    pub since: Nanos,
+    pub started_at: Nanos,
 }
 
-impl Names {
+impl NameTables {
     /// The line with numbers in place of names.
-    pub fn server_entry(&mut self, listed: Listed) -> ServerEntry {
+    pub fn server_entry(&mut self, listed: NamedServer) -> ServerEntry {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(listed.name.as_bytes());
         ServerEntry {
-            id: ServerId(self.servers.number(listed.name) as u32),
+            id: ServerId(self.servers.intern(listed.name) as u32),
             tag: hasher.finish(),
-            zone: self.zones.number(listed.zone.unwrap_or("")) as u16,
-            kind: self.kinds.number(listed.kind.unwrap_or("")) as u16,
+            zone: self.zones.intern(listed.zone.unwrap_or("")) as u16,
+            kind: self.host_types.intern(listed.host_type.unwrap_or("")) as u16,
             cell: listed.cell.unwrap_or(0),
             readiness: listed.readiness,
             weight: listed.weight.unwrap_or(1.0),
-            since: listed.since,
+            since: listed.started_at,
         }
     }
 }
 
 /// Takes one figure of a load report by its name; one that is not known is ignored.
-pub fn set_figure(report: &mut LoadReport, name: &str, value: f64) {
+pub fn set_load_metric(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "inflight" => report.in_flight = Some(value),
         "queue" => report.queue = Some(value),
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -14,7 +14,9 @@
 
 use merlinfold_decide::interface::*;
 use merlinfold_decide::policy::Balancer;
-use merlinfold_settings::{need, set_figure, Env, Listed, Names, Numbering};
+use merlinfold_settings::{
+    require_field, set_load_metric, NameTable, NameTables, NamedServer, PlatformSettings,
+};
 
 /// A line of input. One flat record: which fields a message needs is checked where it is used.
 #[derive(Deserialize)]
@@ -26,7 +28,7 @@
     seq: Option<u64>,
     Node: Option<u64>,
     Seed: Option<u64>,
-    Env: Option<Env>,
+    Env: Option<PlatformSettings>,
     Gen: Option<u64>,
     Table: Option<u64>,
     #[serde(borrow)]
@@ -81,7 +83,7 @@
             fn visit_map<A: MapAccess<'de>>(self, mut pairs: A) -> Result<Report, A::Error> {
                 let mut report = LoadReport::default();
                 while let Some((name, value)) = pairs.next_entry::<Cow<str>, Option<f64>>()? {
-                    value.into_iter().for_each(|value| set_figure(&mut report, &name, value));
+                    value.into_iter().for_each(|value| set_load_metric(&mut report, &name, value));
                 }
                 Ok(Report(report))
             }
@@ -141,27 +143,27 @@
 /// One node with its names.
 struct Instance {
     balancer: Balancer,
-    names: Names,
+    names: NameTables,
 }
 
 impl Instance {
-    fn new(env: &Env, seed: u64) -> Result<Self, Fault> {
-        let mut names = Names::default();
-        let settings = env.settings(&mut names)?;
+    fn new(env: &PlatformSettings, seed: u64) -> Result<Self, Fault> {
+        let mut names = NameTables::default();
+        let settings = env.decision_settings(&mut names)?;
         Ok(Instance { balancer: Balancer::new(settings, seed), names })
     }
 
     fn server(&self, name: Option<Cow<str>>) -> Result<ServerId, Fault> {
-        let name = need(name, "Server")?;
+        let name = require_field(name, "Server")?;
         let known = self.names.servers.get(&name);
         known.map(|n| ServerId(n as u32)).ok_or_else(|| format!("unknown server {name:?}"))
     }
 
     fn entry(&mut self, entry: &Entry) -> Result<ServerEntry, Fault> {
-        Ok(self.names.server_entry(Listed {
+        Ok(self.names.server_entry(NamedServer {
             name: &entry.server,
             zone: entry.rack_zone.as_deref(),
-            kind: entry.class_of_host.as_deref(),
+            host_type: entry.class_of_host.as_deref(),
             cell: entry.pack,
             readiness: match entry.readiness.as_str() {
                 "Running" => Readiness::Ready,
@@ -170,13 +172,13 @@
                 other => return Err(format!("unknown readiness {other:?}")),
             },
             weight: entry.rating,
-            since: entry.online_since.unwrap_or(0),
+            started_at: entry.online_since.unwrap_or(0),
         }))
     }
 }
 
 fn request_id(text: Option<Cow<str>>) -> Result<RequestId, Fault> {
-    let text = need(text, "Req")?;
+    let text = require_field(text, "Req")?;
     let lower = text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
     match u64::from_str_radix(&text, 16) {
         Ok(id) if lower && text.len() == 16 => Ok(RequestId(id)),
@@ -185,7 +187,7 @@
 }
 
 fn status(text: Option<Cow<str>>) -> Result<Status, Fault> {
-    Ok(match need(text, "Result")?.as_ref() {
+    Ok(match require_field(text, "Result")?.as_ref() {
         "OK" => Status::Ok,
         "INTERNAL" => Status::Error,
         "RESOURCE_EXHAUSTED" => Status::Full,
@@ -200,7 +202,7 @@
 
 /// The adapter: takes lines, hands out replies.
 #[derive(Default)]
-pub struct Host {
+pub struct Adapter {
     now: Option<(Nanos, u64)>,
     latest: Nanos,
     tables: BTreeMap<u64, Vec<Entry>>,
@@ -209,20 +211,20 @@
     reply: Vec<u8>,
 }
 
-impl Host {
+impl Adapter {
     /// Whether a batch has begun and not ended.
     pub fn in_batch(&self) -> bool {
         self.now.is_some()
     }
 
     /// Takes one line; returns the reply when the line closes a batch.
-    pub fn line(&mut self, text: &[u8]) -> Result<Option<&[u8]>, String> {
+    pub fn handle_line(&mut self, text: &[u8]) -> Result<Option<&[u8]>, String> {
         let line: Line = serde_json::from_slice(text).map_err(|error| error.to_string())?;
         let Some((now, seq)) = self.now else {
             if line.msg != "Frame" {
                 return Err(format!("{} outside of a batch", line.msg));
             }
-            let (now, seq) = (need(line.Time, "Time")?, need(line.seq, "seq")?);
+            let (now, seq) = (require_field(line.Time, "Time")?, require_field(line.seq, "seq")?);
             if now < self.latest || now > TIME_MOST {
                 let latest = self.latest;
                 return Err(format!(
@@ -241,14 +243,16 @@
                 return Ok(Some(&self.reply));
             }
             "Directory" => {
-                self.tables.insert(need(line.Table, "Table")?, need(line.NodesList, "NodesList")?);
+                self.tables
+                    .insert(require_field(line.Table, "Table")?, require_field(line.NodesList, "NodesList")?);
                 return Ok(None);
             }
             _ => {}
         }
-        let node = need(line.Node, "Node")?;
+        let node = require_field(line.Node, "Node")?;
         if line.msg == "Configure" {
-            let instance = Instance::new(&need(line.Env, "Env")?, need(line.Seed, "Seed")?)?;
+            let instance =
+                Instance::new(&require_field(line.Env, "Env")?, require_field(line.Seed, "Seed")?)?;
             self.instances.insert(node, instance);
             return Ok(None);
         }
@@ -270,8 +274,8 @@
     fn event(at: &mut Instance, tables: &BTreeMap<u64, Vec<Entry>>, line: Line) -> Result<Event, Fault> {
         Ok(match line.msg.as_ref() {
             "Membership" => {
-                need(line.Gen, "Gen")?;
-                let kind = match need(line.Scope, "Scope")?.as_ref() {
+                require_field(line.Gen, "Gen")?;
+                let kind = match require_field(line.Scope, "Scope")?.as_ref() {
                     "Persisted" => ListKind::Persisted,
                     "Complete" => ListKind::Complete,
                     "Partial" => ListKind::Partial,
@@ -280,7 +284,7 @@
                 };
                 let mut entries = Vec::new();
                 if kind != ListKind::Failed {
-                    let table = need(line.Table, "Table")?;
+                    let table = require_field(line.Table, "Table")?;
                     let list = tables.get(&table).ok_or_else(|| format!("unknown table {table}"))?;
                     for entry in list {
                         entries.push(at.entry(entry)?);
@@ -289,7 +293,7 @@
                 Event::Servers { kind, entries }
             }
             "Ask" => {
-                let band = need(line.Band, "Band")?;
+                let band = require_field(line.Band, "Band")?;
                 let class = at.names.classes.get(&band);
                 let tenant = match &line.ClientGroup {
                     Some(NameOrNumber::Name(name)) => at.names.tenants.get(name),
@@ -301,7 +305,7 @@
                     class: class.ok_or_else(|| format!("unknown class {band:?}"))?,
                     tenant,
                     key: line.Item,
-                    budget: need(line.Budget, "Budget")?,
+                    budget: require_field(line.Budget, "Budget")?,
                     cost_hint: line.CostGuess.filter(|_| line.Bits & 1 != 0),
                     repeat: line.Bits & 2 != 0,
                     long: false,
@@ -309,12 +313,12 @@
             }
             "Accepted" => Event::Begun {
                 id: request_id(line.Req)?,
-                attempt: need(line.SendNo, "SendNo")?,
+                attempt: require_field(line.SendNo, "SendNo")?,
                 latency: line.Duration.unwrap_or(0),
             },
             "Verdict" => Event::Outcome {
                 id: request_id(line.Req)?,
-                attempt: need(line.SendNo, "SendNo")?,
+                attempt: require_field(line.SendNo, "SendNo")?,
                 server: at.server(line.Server)?,
                 status: status(line.Result)?,
                 latency: line.Duration.unwrap_or(0),
@@ -322,7 +326,7 @@
                 report: line.Report.map(|report| report.0),
             },
             "Dropped" => Event::Gone(request_id(line.Req)?),
-            "DeadlineHit" => Event::Timer(need(line.Tag, "Tag")?),
+            "DeadlineHit" => Event::Timer(require_field(line.Tag, "Tag")?),
             "Echo" => Event::Probed {
                 server: at.server(line.Server)?,
                 status: status(line.Result)?,
@@ -332,14 +336,14 @@
             "Inbox" => {
                 let bytes = line.Bytes.unwrap_or_default();
                 let bytes = BASE64_STANDARD.decode(bytes.as_bytes()).map_err(|e| format!("Bytes: {e}"))?;
-                Event::Peer { from: need(line.By, "By")?, bytes }
+                Event::Peer { from: require_field(line.By, "By")?, bytes }
             }
             other => return Err(format!("unknown event {other:?}")),
         })
     }
 }
 
-fn write_action(to: &mut Vec<u8>, node: u64, servers: &Numbering, action: Action) {
+fn write_action(to: &mut Vec<u8>, node: u64, servers: &NameTable, action: Action) {
     let mut out = Reply { Node: Some(node), ..Reply::default() };
     let hex = |id: RequestId| Some(format!("{:016x}", id.0));
     match action {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,12 +4,12 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use merlinfold_drill::Host;
+use merlinfold_drill::Adapter;
 
 fn main() -> ExitCode {
     let mut input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut line = Vec::new();
     let mut number = 0u64;
     loop {
@@ -19,7 +19,7 @@
             Err(error) => Err(format!("cannot read: {error}")),
             Ok(0) if host.in_batch() => Err("the input ends within a batch".to_owned()),
             Ok(0) => return ExitCode::SUCCESS,
-            Ok(_) => host.line(&line),
+            Ok(_) => host.handle_line(&line),
         };
         match result {
             Ok(None) => {}
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-use merlinfold_drill::Host;
+use merlinfold_drill::Adapter;
 
 const ENV: &str = r#"{"Balancers":2,"Categories":[{"Aim":200000000,"GiveUp":400000000,"Group":"zone","KeyTtl":1500000000,"LateValue":0.0,"Name":"read","Semantics":"repeatable","Stream":false,"Worth":1.0}],"Discovery":"push","Limits":{"MaxAttempts":3,"RetryAfter":true,"MaxRetryAfter":900000000},"Locality":"a","Me":1,"Obligations":{"ColdShare":0.2,"RampTime":10000000000,"FallMultiple":3.0,"TipAfter":1000000000},"Zones":["a","b"],"Novelty":{"x":[1]}}"#;
 const LIST: &str = r#"{"msg":"Directory","Table":0,"NodesList":[{"Server":"10.0.0.1:80","RackZone":"a","ClassOfHost":"k","Pack":0,"Readiness":"Running","Rating":1}]}"#;
@@ -27,23 +27,23 @@
 const EOB: &str = r#"{"msg":"Eob"}"#;
 
 /// The reply to one batch.
-fn batch(host: &mut Host, seq: u64, events: &[String]) -> Result<String, String> {
-    assert!(host.line(open(seq).as_bytes())?.is_none());
+fn batch(host: &mut Adapter, seq: u64, events: &[String]) -> Result<String, String> {
+    assert!(host.handle_line(open(seq).as_bytes())?.is_none());
     for event in events {
-        assert!(host.line(event.as_bytes())?.is_none(), "a reply before the end of the batch");
+        assert!(host.handle_line(event.as_bytes())?.is_none(), "a reply before the end of the batch");
     }
-    let reply = host.line(EOB.as_bytes())?.expect("the end of a batch brings its reply");
+    let reply = host.handle_line(EOB.as_bytes())?.expect("the end of a batch brings its reply");
     Ok(String::from_utf8(reply.to_vec()).expect("text"))
 }
 
 #[test]
 fn an_empty_batch_is_answered_by_its_number() {
-    assert_eq!(batch(&mut Host::default(), 9, &[]).unwrap(), "{\"msg\":\"Ok\",\"seq\":9}\n");
+    assert_eq!(batch(&mut Adapter::default(), 9, &[]).unwrap(), "{\"msg\":\"Ok\",\"seq\":9}\n");
 }
 
 #[test]
 fn a_request_is_sent_under_its_own_id_and_server_name() {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut events = start(4);
     events.push(ask(4, "00000000000000ff"));
     let reply = batch(&mut host, 1, &events).unwrap();
@@ -56,7 +56,7 @@
 
 #[test]
 fn outcomes_reports_and_streams_are_understood() {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut events = start(4);
     events.push(ask(4, "00000000000000ff"));
     batch(&mut host, 1, &events).unwrap();
@@ -84,7 +84,7 @@
             format!(r#"{{"Server":"10.0.0.{n}:80","RackZone":"{zone}","ClassOfHost":"{kind}","Readiness":"Running"}}"#)
         })
         .collect();
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut events = start(4);
     events[0] = events[0].replace(ENV, env);
     events[1] = format!(r#"{{"msg":"Directory","Table":0,"NodesList":[{}]}}"#, list.join(","));
@@ -120,7 +120,7 @@
 #[test]
 fn a_stated_budget_of_attempts_gets_through() {
     let further = |env: &str| {
-        let mut host = Host::default();
+        let mut host = Adapter::default();
         let mut events = start(4);
         events[0] = events[0].replace(ENV, env);
         events[1] = LIST.replace(
@@ -165,7 +165,7 @@
     assert_eq!(further(&stated(3)), 3);
     assert_eq!(further(&stated(0)), 0);
     let odd = ENV.replace(r#""ColdShare""#, r#""BudgetFree":1,"ExtraShare":0.1,"ColdShare""#);
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut events = start(4);
     events[0] = events[0].replace(ENV, &odd);
     let fault = batch(&mut host, 1, &events).unwrap_err();
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_table_number_used_again_within_a_batch_means_the_newer_list() {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut events = start(4);
     events.push(LIST.replace("10.0.0.1:80", "10.0.0.2:80"));
     events.push(r#"{"msg":"Membership","Node":4,"Gen":2,"Table":0,"Scope":"Complete"}"#.to_owned());
@@ -185,7 +185,7 @@
 
 #[test]
 fn exit_and_configure_in_one_batch_start_afresh() {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut events = start(4);
     events.push(ask(4, "00000000000000ff"));
     let first = batch(&mut host, 1, &events).unwrap();
@@ -197,7 +197,7 @@
 #[test]
 fn the_same_events_bring_the_same_actions_alone_or_beside_other_nodes() {
     let run = |others: bool| {
-        let mut host = Host::default();
+        let mut host = Adapter::default();
         let mut kept = String::new();
         for seq in 1..40 {
             let mut events = if seq == 1 { start(4) } else { vec![] };
@@ -278,7 +278,7 @@
     let servers: Vec<String> = (1..=6)
         .map(|n| format!(r#"{{"Server":"10.0.0.{n}:80","RackZone":"a","Pack":0,"Readiness":"Running"}}"#))
         .collect();
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut events = start(4);
     events[0] = events[0].replace(ENV, &odd);
     events[1] = format!(r#"{{"msg":"Directory","Table":0,"NodesList":[{}]}}"#, servers.join(","));
--- a/crates/simulator-adapter/tests/fuzz.rs
+++ b/crates/simulator-adapter/tests/fuzz.rs
@@ -1,6 +1,6 @@
 //! Whatever comes on the wire ends in a reply or in a fault, never in a panic.
 
-use merlinfold_drill::Host;
+use merlinfold_drill::Adapter;
 use proptest::prelude::*;
 
 const ENV: &str = r#"{"Balancers":2,"Categories":[{"Aim":200000000,"GiveUp":400000000,"Name":"read","Semantics":"repeatable","Worth":1.0}],"Discovery":"push","Limits":{"MaxAttempts":3,"RetryAfter":true,"MaxRetryAfter":900000000},"Locality":"a","Me":1,"Obligations":{"ColdShare":0.2,"RampTime":10000000000,"FallMultiple":3.0,"TipAfter":1000000000},"Zones":["a","b"]}"#;
@@ -94,10 +94,11 @@
 #[test]
 fn time_that_goes_back_or_out_of_bounds_is_named() {
     for (first, then) in [(2_000_000_000u64, 1_000_000_000u64), (1, u64::MAX), (u64::MAX, u64::MAX)] {
-        let mut host = Host::default();
+        let mut host = Adapter::default();
         let frame = |time: u64| format!(r#"{{"msg":"Frame","Time":{time},"seq":1}}"#).into_bytes();
         let mut lines = [frame(first), br#"{"msg":"Eob"}"#.to_vec(), frame(then)].into_iter();
-        let fault = lines.find_map(|line| host.line(&line).err()).expect("one of the times is refused");
+        let fault =
+            lines.find_map(|line| host.handle_line(&line).err()).expect("one of the times is refused");
         assert!(fault.contains(&format!("Time {then}")), "{fault}");
     }
 }
@@ -110,10 +111,10 @@
         let mut lines: Vec<Vec<u8>> = script().into_iter().map(String::into_bytes).collect();
         let whole = edits.is_empty();
         edits.into_iter().for_each(|edit| apply(&mut lines, edit));
-        let mut host = Host::default();
+        let mut host = Adapter::default();
         let mut replies = 0;
         for line in lines {
-            match host.line(&line) {
+            match host.handle_line(&line) {
                 Ok(reply) => replies += usize::from(reply.is_some()),
                 Err(fault) => {
                     prop_assert!(!fault.is_empty() && !whole);
--- a/fuzz/fuzz_targets/wire.rs
+++ b/fuzz/fuzz_targets/wire.rs
@@ -2,9 +2,9 @@
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|bytes: &[u8]| {
-    let mut host = merlinfold_drill::Host::default();
+    let mut adapter = merlinfold_drill::Adapter::default();
     for line in bytes.split(|&b| b == b'\n') {
-        if host.line(line).is_err() {
+        if adapter.handle_line(line).is_err() {
             return;
         }
     }
