--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -12,7 +12,7 @@
 
 fn entry(n: u32) -> ServerEntry {
     let tag = u64::from(n).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    ServerEntry { id: ServerId(n), tag, weight: 1.0, ..ServerEntry::default() }
+    ServerEntry { id: ServerId(n), name_hash: tag, weight: 1.0, ..ServerEntry::default() }
 }
 
 /// A node that knows so many servers and has served for a while.
@@ -26,24 +26,24 @@
 impl Node {
     fn new(servers: u32, nodes: u32) -> Self {
         let class = Class {
-            aim: 300 * MS,
+            target_latency: 300 * MS,
             deadline: 750 * MS,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Safe,
+            value: 1.0,
+            late_value_share: 0.0,
+            idempotency: Idempotency::Idempotent,
             placement: Placement::default(),
         };
         let settings = Settings {
-            nodes,
+            node_count: nodes,
             classes: vec![class],
-            over_share_worth: 1.0,
+            over_quota_value_share: 1.0,
             max_attempts: 3,
             retry_after: true,
-            ask_within: 10_000 * MS,
-            cold_share: 0.2,
-            ramp_time: 10_000 * MS,
-            fall_multiple: 4.0,
-            tip_after: 2_000 * MS,
+            watch_interval: 10_000 * MS,
+            initial_capacity_share: 0.2,
+            slow_start_duration: 10_000 * MS,
+            overload_factor: 4.0,
+            overload_duration: 2_000 * MS,
             ..Settings::default()
         };
         let (balancer, now) = (Balancer::new(settings, 7), 100_000 * MS);
@@ -71,10 +71,10 @@
             class: 0,
             tenant: None,
             key: None,
-            budget: 700 * MS,
+            client_timeout: 700 * MS,
             cost_hint: None,
-            repeat: false,
-            long: false,
+            is_retry: false,
+            streams_body: false,
         };
         self.give(Event::Request(request));
         let sent = self.actions.iter().find_map(|action| match action {
--- a/crates/decide/benches/memory.rs
+++ b/crates/decide/benches/memory.rs
@@ -17,21 +17,21 @@
 
 fn entry(n: u32) -> ServerEntry {
     let tag = u64::from(n).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    ServerEntry { id: ServerId(n), tag, weight: 1.0, ..ServerEntry::default() }
+    ServerEntry { id: ServerId(n), name_hash: tag, weight: 1.0, ..ServerEntry::default() }
 }
 
 fn main() {
     let mut all = Vec::new(); // kept: what one leaves behind would be counted as free for the next
     for (servers, classes) in [(4_096, 1), (16_384, 1), (16_384, 2), (16_384, 6)] {
         let class = Class {
-            aim: 300 * MS,
+            target_latency: 300 * MS,
             deadline: 750 * MS,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Safe,
+            value: 1.0,
+            late_value_share: 0.0,
+            idempotency: Idempotency::Idempotent,
             placement: Placement::default(),
         };
-        let set = Settings { classes: vec![class; classes], nodes: 1, ..Settings::default() };
+        let set = Settings { classes: vec![class; classes], node_count: 1, ..Settings::default() };
         let before = resident();
         let nodes: Vec<Balancer> = (0..NODES)
             .map(|seed| {
--- a/crates/decide/src/figures.rs
+++ b/crates/decide/src/dynamic_settings.rs
@@ -5,50 +5,55 @@
 /// Those settings that may change while the node runs. Classes and tenants keep their numbers; tenants may be added
 /// behind those that there are.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct DynamicSettings {
     /// Of each class, by number.
-    pub classes: Vec<ClassFigures>,
+    pub classes: Vec<DynamicClassSettings>,
     /// Tenants, by number.
     pub tenants: Vec<Tenant>,
     /// As in [`Settings::over_share_worth`].
-    pub over_share_worth: f64,
+    pub over_quota_value_share: f64,
     /// As in [`Settings::max_attempts`]; holds for requests that come from now on.
     pub max_attempts: u32,
 }
 
 /// Those properties of a [`Class`] that may change while the node runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClassFigures {
+pub struct DynamicClassSettings {
     /// As in [`Class::aim`].
-    pub aim: Nanos,
+    pub target_latency: Nanos,
     /// As in [`Class::worth`].
-    pub worth: f64,
+    pub value: f64,
     /// As in [`Class::late_worth`].
-    pub late_worth: f64,
+    pub late_value_share: f64,
 }
 
 impl Settings {
     /// Those of them that may change while the node runs.
-    pub fn figures(&self) -> Figures {
-        let of_class =
-            |class: &Class| ClassFigures { aim: class.aim, worth: class.worth, late_worth: class.late_worth };
-        Figures {
+    pub fn dynamic_settings(&self) -> DynamicSettings {
+        let of_class = |class: &Class| DynamicClassSettings {
+            target_latency: class.target_latency,
+            value: class.value,
+            late_value_share: class.late_value_share,
+        };
+        DynamicSettings {
             classes: self.classes.iter().map(of_class).collect(),
             tenants: self.tenants.clone(),
-            over_share_worth: self.over_share_worth,
+            over_quota_value_share: self.over_quota_value_share,
             max_attempts: self.max_attempts,
         }
     }
 
     /// Takes over these figures; all else stays as it is.
-    pub fn adopt(&mut self, figures: Figures) {
-        let Figures { classes, tenants, over_share_worth, max_attempts } = figures;
+    pub fn apply(&mut self, figures: DynamicSettings) {
+        let DynamicSettings { classes, tenants, over_quota_value_share: over_share_worth, max_attempts } =
+            figures;
         for (class, figures) in self.classes.iter_mut().zip(classes) {
-            let ClassFigures { aim, worth, late_worth } = figures;
-            (class.aim, class.worth, class.late_worth) = (aim, worth, late_worth);
+            let DynamicClassSettings { target_latency: aim, value: worth, late_value_share: late_worth } =
+                figures;
+            (class.target_latency, class.value, class.late_value_share) = (aim, worth, late_worth);
         }
         self.tenants = tenants;
-        self.over_share_worth = over_share_worth;
+        self.over_quota_value_share = over_share_worth;
         self.max_attempts = max_attempts;
     }
 }
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -4,7 +4,7 @@
 //! servers, classes, tenants, zones) are numbers handed out by the host; the module only tells
 //! them apart.
 
-pub use crate::figures::{ClassFigures, Figures};
+pub use crate::dynamic_settings::{DynamicClassSettings, DynamicSettings};
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
@@ -19,7 +19,7 @@
 
 /// The servers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -30,18 +30,18 @@
 
 /// What running a request more than once does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be repeated and refused freely.
-    Safe,
+    Idempotent,
     /// Nothing, if the repeat reaches the same group soon enough.
     Keyed {
         /// Where a repeat is recognised.
-        group: Group,
+        scope: DedupScope,
         /// For how long, from the send of the first attempt that might have run.
         window: Nanos,
     },
     /// Harm: never twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Where a class of requests may run: at every attempt, also when all of these servers are down.
@@ -52,47 +52,47 @@
     /// The only zones.
     pub zones: Option<Vec<u16>>,
     /// The only kinds of machine.
-    pub kinds: Option<Vec<u16>>,
+    pub host_types: Option<Vec<u16>>,
 }
 
 impl Placement {
     /// Whether this server may be sent the class.
     pub fn allows(&self, server: &ServerEntry) -> bool {
         let within = |list: &Option<Vec<u16>>, n| list.as_ref().is_none_or(|list| list.contains(&n));
-        within(&self.zones, server.zone) && within(&self.kinds, server.kind)
+        within(&self.zones, server.zone) && within(&self.host_types, server.host_type)
     }
 
     /// Whether the class may go to any server at all.
     pub fn is_free(&self) -> bool {
-        self.zones.is_none() && self.kinds.is_none()
+        self.zones.is_none() && self.host_types.is_none()
     }
 }
 
 /// The retry budget that a deployment states: in any window, attempts beyond each request's first
 /// number at most `free` plus `share` of the requests taken in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AttemptBudget {
+pub struct RetryBudget {
     /// Further attempts that are allowed however little is asked.
-    pub free: f64,
+    pub base: f64,
     /// Further attempts for each request taken.
-    pub share: f64,
+    pub per_request: f64,
     /// Length of the window.
-    pub span: Nanos,
+    pub window: Nanos,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Nanos,
+    pub target_latency: Nanos,
     /// How long the client waits in all, over all of its tries.
     pub deadline: Nanos,
     /// Worth of one request.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_value_share: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Where it may run.
     pub placement: Placement,
 }
@@ -111,16 +111,16 @@
     #[default]
     Push,
     /// Changes arrive only after [`Action::Watch`].
-    Ask,
+    Watch,
 }
 
 /// What a node is told at its start. Everything else it has to observe.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// This node's number among its peers.
-    pub me: u32,
+    pub node_index: u32,
     /// Nodes in all.
-    pub nodes: u32,
+    pub node_count: u32,
     /// The node's own zone.
     pub zone: u16,
     /// Request classes, by number.
@@ -128,41 +128,41 @@
     /// Tenants, by number; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's quota, as a share of the usual.
-    pub over_share_worth: f64,
+    pub over_quota_value_share: f64,
     /// How servers become known.
     pub discovery: Discovery,
     /// Server weights mean something: they stand for a server's registered size.
     pub weighted: bool,
     /// A server that met a key lately serves it with less work.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// Price of an attempt that leaves its zone, as a share of a request's worth.
     pub cross_zone_price: f64,
     /// Attempts that a request may have.
     pub max_attempts: u32,
     /// The stated budget of further attempts, where there is one.
-    pub attempt_budget: Option<AttemptBudget>,
+    pub retry_budget: Option<RetryBudget>,
     /// A request may have two attempts out at once.
-    pub may_duplicate: bool,
+    pub may_hedge: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Servers may be probed.
     pub may_probe: bool,
     /// Nodes may send each other messages.
-    pub may_tell: bool,
+    pub may_message_peers: bool,
     /// Clients heed advice on when to come back.
     pub retry_after: bool,
     /// The longest such wait that they heed.
     pub max_retry_after: Nanos,
     /// With [`Discovery::Ask`]: how often news must have been asked for.
-    pub ask_within: Nanos,
+    pub watch_interval: Nanos,
     /// Least share of its capacity that a server starts with.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// Time after which a started server is warm at the latest.
-    pub ramp_time: Nanos,
+    pub slow_start_duration: Nanos,
     /// Multiple of its present capacity that makes a cold server fall over ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... when it is sent for this long.
-    pub tip_after: Nanos,
+    pub overload_duration: Nanos,
 }
 
 /// Whether a server takes new work.
@@ -174,7 +174,7 @@
     /// It finishes what it has.
     Draining,
     /// It is no more.
-    Gone,
+    Removed,
 }
 
 /// One line of the server list.
@@ -183,11 +183,11 @@
     /// The server.
     pub id: ServerId,
     /// A fixed hash of the server's name, the same at every node.
-    pub tag: u64,
+    pub name_hash: u64,
     /// Its zone.
     pub zone: u16,
     /// Its kind of machine.
-    pub kind: u16,
+    pub host_type: u16,
     /// Its cell.
     pub cell: u64,
     /// Whether it takes work.
@@ -195,7 +195,7 @@
     /// Registered size, to compare with that of others.
     pub weight: f64,
     /// When it last started; 0: long ago.
-    pub since: Nanos,
+    pub started_at: Nanos,
 }
 
 /// What kind of news about servers this is.
@@ -223,13 +223,13 @@
     /// What it is about.
     pub key: Option<u64>,
     /// Time until the client gives this try up.
-    pub budget: Nanos,
+    pub client_timeout: Nanos,
     /// Expected work, as time on a standard core.
     pub cost_hint: Option<Nanos>,
     /// Marked by the client as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Its body passes through while it comes: no server starts on it before [`Event::Uploaded`].
-    pub long: bool,
+    pub streams_body: bool,
 }
 
 /// How an attempt ended.
@@ -240,7 +240,7 @@
     /// The server answered with an error.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time.
     Timeout,
     /// No connection.
@@ -250,13 +250,13 @@
     /// Called off by this node.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Status {
     /// Whether it proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Status::Full | Status::ConnectFailed | Status::Moot)
+        matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent)
     }
 }
 
@@ -274,7 +274,7 @@
     /// Errors a second.
     pub eps: Option<f64>,
     /// Time that a request took there of late, without waiting.
-    pub latency: Option<Nanos>,
+    pub service_time: Option<Nanos>,
 }
 
 /// What happens to a node. The first event is the persisted server list.
@@ -290,9 +290,9 @@
     /// A request to answer.
     Request(Request),
     /// The last byte of a long request has gone to the server of its open attempt, which starts on it now.
-    Uploaded(RequestId),
+    BodySent(RequestId),
     /// The answer to a streamed request has begun.
-    Begun {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// The attempt that answers it.
@@ -318,9 +318,9 @@
         report: Option<LoadReport>,
     },
     /// The client has left; nothing more is owed.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// A probe ended.
-    Probed {
+    ProbeOutcome {
         /// The server.
         server: ServerId,
         /// How it ended.
@@ -331,7 +331,7 @@
         report: Option<LoadReport>,
     },
     /// A peer's message.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: u32,
         /// What it said.
@@ -344,16 +344,16 @@
         /// Whether it is out from now on.
         out: bool,
         /// When that was ordered: an order may be older than the process that hears of it.
-        since: Nanos,
+        ordered_at: Nanos,
     },
     /// Other figures hold from now on; what has been learned stays.
-    Reconfigured(Box<Figures>),
+    Reconfigured(Box<DynamicSettings>),
     /// A timer set by the module has come due.
     Timer(u64),
 }
 
 /// Bytes that a message to a peer may have.
-pub const MESSAGE_MOST: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 
 /// What a node is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -367,7 +367,7 @@
         /// Its time-out; 0: until the client gives up.
         timeout: Nanos,
         /// How soon it has to be written, or not at all: a repeat that is only known for a while.
-        within: Option<Nanos>,
+        send_within: Option<Nanos>,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -401,7 +401,7 @@
         server: ServerId,
     },
     /// Send bytes to one peer, or to all.
-    Tell {
+    SendToPeers {
         /// The peer's number; none: all of them.
         to: Option<u32>,
         /// At most [`MESSAGE_MOST`].
--- a/crates/decide/src/policy/admission.rs
+++ b/crates/decide/src/policy/admission.rs
@@ -5,17 +5,17 @@
 impl Balancer {
     pub(super) fn request(&mut self, now: Nanos, request: Request, out: &mut Vec<Action>) {
         self.asked.add(now, RATE_WINDOW, 1.0);
-        self.taken.add(now, self.budget.span);
+        self.taken.add(now, self.budget.window);
         let work = request.cost_hint.map_or(self.base[request.class], |hint| hint as f64);
         self.work[request.class].add(now, RATE_WINDOW, work);
         let class = &self.set.classes[request.class];
         // A client's repeat has used up some of its aim: what its budget is short of the deadline.
-        let spent = if request.repeat { class.deadline.saturating_sub(request.budget) } else { 0 };
-        let aim_at = now.saturating_add(class.aim.saturating_sub(spent));
-        let deadline = now.saturating_add(request.budget);
-        let worthless = aim_at <= now && class.late_worth <= 0.0;
-        let (late, most) = (class.late_worth > 0.0, self.set.max_attempts as usize);
-        let (class, key, long) = (request.class, request.key, request.long);
+        let spent = if request.is_retry { class.deadline.saturating_sub(request.client_timeout) } else { 0 };
+        let aim_at = now.saturating_add(class.target_latency.saturating_sub(spent));
+        let deadline = now.saturating_add(request.client_timeout);
+        let worthless = aim_at <= now && class.late_value_share <= 0.0;
+        let (late, most) = (class.late_value_share > 0.0, self.set.max_attempts as usize);
+        let (class, key, long) = (request.class, request.key, request.streams_body);
         let held = Held { class, key, aim_at, deadline, long, late, most, ..Held::default() };
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_RESERVE);
         // Who took all servers out will not put one back within a client's time.
@@ -25,7 +25,7 @@
         match admitted {
             true => {
                 // Held no longer than leaves time to be answered.
-                let margin = (2 * TICK).min(self.set.classes[request.class].aim / 3);
+                let margin = (2 * TICK).min(self.set.classes[request.class].target_latency / 3);
                 let need = (self.usual[request.class].mean as Nanos).saturating_add(margin);
                 let until = aim_at.min(deadline).saturating_sub(need);
                 self.waiting.insert((request.class, until, request.id));
@@ -56,7 +56,7 @@
         let idle = held < self.fair_part();
         let pressure = (self.excess(request.class, crowd) - STRAIN_FROM) / (STRAIN_TO - STRAIN_FROM);
         // Slow beside what it was at best is still in time where the aim leaves room, also for the slowest.
-        let aim = self.set.classes[request.class].aim as f64;
+        let aim = self.set.classes[request.class].target_latency as f64;
         let slowest = pool.strain.max(crowd) * self.base[request.class] * (1.0 + OVERDUE * self.spread());
         let room = ((slowest / aim - ROOM_FROM) / (ROOM_TO - ROOM_FROM)).clamp(0.0, 1.0);
         // While the node holds less than its part servers are idle, unless even so answers come late.
@@ -69,12 +69,12 @@
         if let Some(tenant) = request.tenant {
             self.tenants[tenant].add(now, RATE_WINDOW, 1.0);
             // Beyond an even part of a quota; first beyond what most ask of theirs: loads are uneven.
-            let all = f64::from(self.set.nodes) * SECOND / RATE_WINDOW;
+            let all = f64::from(self.set.node_count) * SECOND / RATE_WINDOW;
             let part = |(r, t): (&Decayed, &Tenant)| all * r.get(now, RATE_WINDOW) / t.quota_per_s;
             let parts: Vec<f64> = self.tenants.iter().zip(&self.set.tenants).map(part).collect();
             let (drawn, most) = (self.rng.f64() * parts[tenant], OVER_SHARE * median(parts));
             let times = i32::from(drawn > 1.0) + i32::from(drawn > most.max(1.0));
-            value *= self.set.over_share_worth.powi(times);
+            value *= self.set.over_quota_value_share.powi(times);
         }
         self.rng.f64() >= pressure * least / value.max(1e-12)
     }
@@ -118,15 +118,15 @@
     }
 
     pub(super) fn worth_for_work(&self, class: usize) -> f64 {
-        self.set.classes[class].worth / self.usual[class].mean
+        self.set.classes[class].value / self.usual[class].mean
     }
 
     /// The final answer: refused where that promise may be made, else failed.
     pub(super) fn finish(&mut self, now: Nanos, id: RequestId, out: &mut Vec<Action>) {
         let held = &self.requests[&id];
-        let effect = self.set.classes[held.class].effect;
+        let effect = self.set.classes[held.class].idempotency;
         let refusable = held.attempts.iter().all(|a| !a.ran)
-            || matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+            || matches!(effect, Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. });
         let retry_after = if self.set.retry_after && refusable { self.come_back(now, id) } else { 0 };
         out.push(if refusable { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.close(id);
--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decide/src/policy/attempts.rs
@@ -9,8 +9,8 @@
             return false;
         }
         // The stated budget, at its strictest on both edges of its window, for all attempts after a first.
-        let (b, from) = (self.budget, now.saturating_sub(self.budget.span));
-        let allowed = b.free + b.share * self.taken.since(from + 1) as f64;
+        let (b, from) = (self.budget, now.saturating_sub(self.budget.window));
+        let allowed = b.base + b.per_request * self.taken.since(from + 1) as f64;
         let further = !held.attempts.is_empty();
         if further && self.further.since(from) as f64 + 1.0 > allowed {
             return false;
@@ -33,13 +33,13 @@
         self.sends += 1;
         let (server, zone, cell) = (server_id, server.entry.zone, server.entry.cell);
         // Its connection may come up late, and then it may not go any more.
-        let window = match self.set.classes[held.class].effect {
-            Effect::Keyed { window, .. } => Some(window),
+        let window = match self.set.classes[held.class].idempotency {
+            Idempotency::Keyed { window, .. } => Some(window),
             _ => None,
         };
         let ran = held.attempts.iter().filter(|a| a.ran).map(|a| a.sent).min();
         let within = window.zip(ran).map(|(w, ran)| ran.saturating_add(w).saturating_sub(now));
-        out.push(Action::Send { id, server, timeout, within });
+        out.push(Action::Send { id, server, timeout, send_within: within });
         let held = self.requests.get_mut(&id).expect("it has just been looked at");
         let timeout = if timeout == 0 { held.deadline - now } else { timeout };
         let long = held.long;
@@ -58,7 +58,7 @@
             self.burden(now, id);
         }
         if further {
-            self.further.add(now, b.span);
+            self.further.add(now, b.window);
         }
         self.draw(now, server_id);
         true
@@ -71,10 +71,10 @@
         let slowness = server.slowness().unwrap_or(1.0).max(1.0) / self.warmth(now, &server.entry).max(0.1);
         let overdue = (overdue(usual) * slowness) as Nanos;
         let class = &self.set.classes[held.class];
-        let again = match class.effect {
-            Effect::Unsafe => false,
-            Effect::Safe => true,
-            Effect::Keyed { window, .. } => overdue < window,
+        let again = match class.idempotency {
+            Idempotency::NonIdempotent => false,
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { window, .. } => overdue < window,
         };
         let spare = held.attempts.len() + 1 < held.most && self.retries >= 1.0;
         let end = now.saturating_add(overdue).saturating_add(usual.mean as Nanos);
@@ -104,11 +104,11 @@
             if status == Status::Ok {
                 (server.strikes, server.back_at) = (0, 0);
             }
-            if server.entry.readiness == Readiness::Gone && server.out == 0 {
+            if server.entry.readiness == Readiness::Removed && server.out == 0 {
                 self.servers.remove(&at).map(|s| self.withdraw(s));
             }
         }
-        let failed = !matches!(status, Status::Ok | Status::Cancelled | Status::Moot);
+        let failed = !matches!(status, Status::Ok | Status::Cancelled | Status::NotSent);
         // Failures count at the whole time-out, cold servers at their warm speed: growth is no strain.
         let warmth = self.servers.get(&at).map_or(1.0, |s| self.warmth(now, &s.entry));
         // One that its client's own short time has ended tells of its server only what is worse than known.
@@ -120,7 +120,7 @@
             let risen = self.base[class] + BASE_RISE * (usual.mean - self.base[class]);
             let base = if usual.seen < BASE_SAMPLES { usual.mean } else { risen.min(usual.mean) };
             // Learned within a jam it would hide the jam: an aim leaves room for queues.
-            self.base[class] = base.min(self.set.classes[class].aim as f64 * BASE_MOST);
+            self.base[class] = base.min(self.set.classes[class].target_latency as f64 * BASE_MOST);
             let base = self.base[class];
             let pool = &mut self.pools[self.pool[class]];
             pool.answered.add(now, STRAIN_WINDOW, base);
@@ -135,20 +135,20 @@
             self.overtake(now, at, sent);
         } else if failed && !early {
             self.strike(now, at, class, status, sent); // one that is gone tells no strain
-            if matches!(status, Status::Full | Status::Timeout) {
+            if matches!(status, Status::Rejected | Status::Timeout) {
                 self.sense(now, class, None, warmth);
             }
         }
-        let tag = self.servers.get(&at).map(|s| s.entry.tag as u32);
+        let tag = self.servers.get(&at).map(|s| s.entry.name_hash as u32);
         if let Some(tag) = tag.filter(|_| failed || status == Status::Ok) {
             // A server's own account of its service leaves out what it waits for others.
-            let told = report.and_then(|r| r.latency).filter(|&told| told > 0 && !failed);
+            let told = report.and_then(|r| r.service_time).filter(|&told| told > 0 && !failed);
             told.into_iter().for_each(|told| self.service.add(told as f64, USUAL_SAMPLES));
             let sample = told.map_or(taken / self.usual[class].mean, |told| told as f64 / self.service.mean);
             let known = self.servers.get(&at).and_then(|s| s.pace[class].slowness).filter(|_| early);
             let sample = sample.max(known.unwrap_or(0.0)).clamp(1.0 / 256.0, 255.0);
             self.learn(now, at, class..class + 1, sample);
-            if self.set.may_tell && self.news.len() < MESSAGE_MOST {
+            if self.set.may_message_peers && self.news.len() < MAX_MESSAGE_BYTES {
                 let code = ((sample.log2() + 8.0) * NEWS_STEPS) as u32;
                 self.news.extend((tag & !255 | code & 255).to_le_bytes());
             }
--- a/crates/decide/src/policy/backoff.rs
+++ b/crates/decide/src/policy/backoff.rs
@@ -23,19 +23,19 @@
     }
 
     /// The wait before the first call.
-    pub fn first(&self, rng: &mut Rng) -> Nanos {
+    pub fn initial_wait(&self, rng: &mut Rng) -> Nanos {
         rng.u64(0..=(self.interval / FIRST_SHARE).min(MAX_WAIT))
     }
 
     /// The wait after one more failure in a row.
-    pub fn failed(&mut self, rng: &mut Rng) -> Nanos {
+    pub fn record_failure(&mut self, rng: &mut Rng) -> Nanos {
         self.failures = self.failures.saturating_add(1);
         let longest = ((self.interval / BASE_SHARE) << self.failures.min(MAX_DOUBLINGS)).min(MAX_WAIT);
         longest / 2 + rng.u64(0..=longest / 2)
     }
 
     /// A call was answered.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/decide/src/policy/learning.rs
+++ b/crates/decide/src/policy/learning.rs
@@ -30,9 +30,9 @@
             return;
         }
         let bytes = std::mem::take(&mut self.news);
-        for _ in 0..(self.ring.len() / NEWS_PART).min(self.set.nodes as usize - 1).min(NEWS_PEERS) {
-            let to = Some((self.set.me + self.rng.u32(1..self.set.nodes)) % self.set.nodes);
-            out.push(Action::Tell { to, bytes: bytes.clone() });
+        for _ in 0..(self.ring.len() / NEWS_PART).min(self.set.node_count as usize - 1).min(NEWS_PEERS) {
+            let to = Some((self.set.node_index + self.rng.u32(1..self.set.node_count)) % self.set.node_count);
+            out.push(Action::SendToPeers { to, bytes: bytes.clone() });
         }
     }
 
@@ -71,7 +71,7 @@
     pub(super) fn strike(&mut self, now: Nanos, id: ServerId, class: usize, status: Status, sent: Nanos) {
         let (usual, jitter) = (self.usual_latency(), 0.5 + self.rng.f64());
         let Some(server) = self.servers.get_mut(&id) else { return };
-        if status == Status::Full {
+        if status == Status::Rejected {
             // Not ill, but refilled at once it would stay full: the fuller, the less it gets done.
             server.pace[class].busy_until = now.saturating_add((2.0 * usual * jitter) as Nanos);
             return;
--- a/crates/decide/src/policy/listed.rs
+++ b/crates/decide/src/policy/listed.rs
@@ -26,17 +26,17 @@
     pub(super) fn servers_told(&mut self, now: Nanos, kind: ListKind, mut entries: Vec<ServerEntry>) {
         if kind == ListKind::Failed {
             // Discovery is a small shared capacity: ask again later each time, never in step.
-            self.ask_at = now.saturating_add(self.ask_backoff.failed(&mut self.rng));
+            self.ask_at = now.saturating_add(self.ask_backoff.record_failure(&mut self.rng));
             return;
         }
         if kind != ListKind::Persisted {
-            self.ask_backoff.succeeded();
+            self.ask_backoff.record_success();
             self.ask_at = Nanos::MAX;
         }
         let mut changed: BTreeSet<ServerId> = entries.iter().map(|e| e.id).collect();
         if kind != ListKind::Partial {
             for server in self.servers.values_mut().filter(|s| !changed.contains(&s.entry.id)) {
-                server.entry.readiness = Readiness::Gone;
+                server.entry.readiness = Readiness::Removed;
             }
             changed.extend(self.servers.keys());
         }
@@ -50,10 +50,12 @@
         let more = entries.iter().filter(|e| !self.servers.contains_key(&e.id));
         let turns = (self.weights + more.map(|e| e.weight).sum::<f64>()).max(self.servers.len() as f64 + 1.0);
         for mut entry in entries {
-            entry.since = entry.since.max(self.returned.get(&entry.id).copied().unwrap_or(0));
+            entry.started_at = entry.started_at.max(self.returned.get(&entry.id).copied().unwrap_or(0));
             let known = self.servers.remove(&entry.id);
             let known = known.map(|s| self.withdraw(s));
-            let same = |s: &Server| s.entry.since == entry.since && s.entry.readiness != Readiness::Gone;
+            let same = |s: &Server| {
+                s.entry.started_at == entry.started_at && s.entry.readiness != Readiness::Removed
+            };
             let server = match known {
                 Some(s) if same(&s) => Server { entry, ..s },
                 known => {
@@ -82,15 +84,15 @@
             let Some(server) = self.servers.remove(&id) else { continue };
             let mut server = self.withdraw(server);
             let entry = &server.entry;
-            if entry.readiness == Readiness::Gone && server.out == 0 {
+            if entry.readiness == Readiness::Removed && server.out == 0 {
                 self.returned.remove(&id);
                 continue;
             }
-            self.by_tag.insert(entry.tag as u32 >> 8, id);
+            self.by_tag.insert(entry.name_hash as u32 >> 8, id);
             self.cells.insert((entry.cell, id));
             if entry.readiness == Readiness::Ready && !self.out.contains(&id) {
                 // One ring for all nodes, each starting elsewhere: small rotations cover all servers alike.
-                let key = ring::key(entry.tag, id.0);
+                let key = ring::key(entry.name_hash, id.0);
                 server.slot = Some(self.ring.insert(key));
                 self.weights += entry.weight;
                 if entry.zone == self.set.zone {
@@ -113,15 +115,15 @@
         let (entry, id) = (&server.entry, server.entry.id);
         self.wakes.remove(&(server.wake, id));
         self.cells.remove(&(entry.cell, id));
-        if self.by_tag.get(&(entry.tag as u32 >> 8)) == Some(&id) {
-            self.by_tag.remove(&(entry.tag as u32 >> 8));
+        if self.by_tag.get(&(entry.name_hash as u32 >> 8)) == Some(&id) {
+            self.by_tag.remove(&(entry.name_hash as u32 >> 8));
         }
         if server.out == 0 {
             self.occupied.remove(&id);
         }
         if let Some(slot) = server.slot.take() {
             self.ring.remove(slot);
-            self.homes.remove(&ring::key(entry.tag, id.0));
+            self.homes.remove(&ring::key(entry.name_hash, id.0));
             self.weights -= entry.weight;
             let (suspect, speed) = (std::mem::take(&mut server.suspect), server.speed.take());
             let tallies = self.tallies.iter_mut().zip(&self.set.classes);
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -55,7 +55,7 @@
     tenants: Vec<Decayed>,
     work: Vec<Decayed>, // Work asked for, by class.
     retries: f64,       // Retries left.
-    budget: AttemptBudget,
+    budget: RetryBudget,
     taken: Sliding, // Requests taken and attempts after the first of one, for a stated budget.
     further: Sliding,
     pools: Vec<Pool>,
@@ -70,7 +70,8 @@
 impl Balancer {
     /// A node that knows its settings and nothing else.
     pub fn new(set: Settings, seed: u64) -> Self {
-        let guess = |class: &Class| (class.aim as f64 / 8.0).max(1.0); // its aim is all there is yet
+        // The target latency is all that is known of a class before its first answer.
+        let guess = |class: &Class| (class.target_latency as f64 / 8.0).max(1.0);
         let first_like = |c: &Class| set.classes.iter().position(|d| d.placement == c.placement);
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
@@ -85,10 +86,10 @@
             speeds: Speeds { unknown: 1.0, scale: 1.0, bound: Vec::new() },
             limit: u32::MAX,
             retries: RETRY_RESERVE,
-            budget: set.attempt_budget.unwrap_or(UNSTATED),
+            budget: set.retry_budget.unwrap_or(UNSTATED),
             ask_at: Nanos::MAX,
-            ask_backoff: Backoff::new(set.ask_within),
-            set: Settings { nodes: set.nodes.max(1), ..set },
+            ask_backoff: Backoff::new(set.watch_interval),
+            set: Settings { node_count: set.node_count.max(1), ..set },
             ..Balancer::default()
         }
     }
@@ -98,25 +99,26 @@
         if !self.started {
             self.started = true;
             out.push(Action::Timer { after: TICK, token: 0 });
-            if self.set.discovery == Discovery::Ask {
-                self.ask_at = now.saturating_add(self.ask_backoff.first(&mut self.rng));
+            if self.set.discovery == Discovery::Watch {
+                self.ask_at = now.saturating_add(self.ask_backoff.initial_wait(&mut self.rng));
             }
         }
         self.awake(now);
         match event {
             Event::Servers { kind, entries } => self.servers_told(now, kind, entries),
             Event::Request(request) => self.request(now, request, out),
-            Event::Begun { id, .. } | Event::Gone(id) => self.close(id), // a begun stream goes on by itself
+            // A response that has started streams to its end without further decisions.
+            Event::ResponseStarted { id, .. } | Event::ClientGone(id) => self.close(id),
             Event::Outcome { .. } => self.outcome(now, event, out),
-            Event::Uploaded(id) => self.uploaded(now, id),
+            Event::BodySent(id) => self.uploaded(now, id),
             Event::Timer(0) => self.tick(now, out),
-            Event::Peer { bytes, .. } => self.hear(now, &bytes),
-            Event::Maintenance { server, out, since } => self.maintain(now, server, out, since),
+            Event::PeerMessage { bytes, .. } => self.hear(now, &bytes),
+            Event::Maintenance { server, out, ordered_at: since } => self.maintain(now, server, out, since),
             Event::Reconfigured(figures) => {
                 self.tenants.resize(figures.tenants.len().max(self.tenants.len()), Decayed::default());
-                self.set.adopt(*figures);
+                self.set.apply(*figures);
             }
-            Event::Timer(_) | Event::Probed { .. } => {}
+            Event::Timer(_) | Event::ProbeOutcome { .. } => {}
         }
     }
 
@@ -131,9 +133,9 @@
     }
 
     /// Servers of the list that get nothing now, taken out by hand or ejected for their failures.
-    pub fn avoided(&self, now: Nanos) -> usize {
+    pub fn excluded_servers(&self, now: Nanos) -> usize {
         let avoided = |s: &&Server| s.back_at > now || self.out.contains(&s.entry.id);
-        let listed = |s: &&Server| s.entry.readiness != Readiness::Gone;
+        let listed = |s: &&Server| s.entry.readiness != Readiness::Removed;
         self.servers.values().filter(listed).filter(avoided).count()
     }
 
@@ -162,7 +164,7 @@
         }
         if now >= self.ask_at {
             // One subscription; if no answer comes at all it counts as failed after a while.
-            self.ask_at = now.saturating_add(self.set.ask_within);
+            self.ask_at = now.saturating_add(self.set.watch_interval);
             out.push(Action::Watch);
         }
     }
--- a/crates/decide/src/policy/pick.rs
+++ b/crates/decide/src/policy/pick.rs
@@ -13,8 +13,8 @@
         let needed = pool.answered.get(now, STRAIN_WINDOW) / STRAIN_WINDOW;
         let fair = self.fair_part();
         let own = (needed * ROTATION_SPARE).max(fair).max(ROTATION_LEAST / fair.max(1.0)).ceil() as usize;
-        let start = (self.ring.len() as u64 * u64::from(self.set.me % self.set.nodes)
-            / u64::from(self.set.nodes)) as usize;
+        let start = (self.ring.len() as u64 * u64::from(self.set.node_index % self.set.node_count)
+            / u64::from(self.set.node_count)) as usize;
         let beyond = !patient && self.excess(held.class, 0.0) < STRAIN_FROM;
         let (n, at) = (held.class, self.sends);
         let worth = |ring: &Ring, id: &ServerId| {
@@ -25,8 +25,8 @@
         let servers = &self.servers;
         let part = Part { start, own, beyond };
         let mut ring = std::mem::take(&mut self.ring);
-        let found = if held.attempts.iter().all(|a| !a.ran) || class.effect == Effect::Safe {
-            let warm = held.key.filter(|_| self.set.warm_keys).and_then(|key| self.warm_for(key, class));
+        let found = if held.attempts.iter().all(|a| !a.ran) || class.idempotency == Idempotency::Idempotent {
+            let warm = held.key.filter(|_| self.set.key_affinity).and_then(|key| self.warm_for(key, class));
             let part = if warm.is_some() { Part { own: usize::MAX, ..part } } else { part };
             let best = ring.best(n, at, part, &|id| !tried(id)).map(|slot| ServerId(ring.id(slot)));
             let warm = warm.filter(|warm| !tried(warm.0)).and_then(|warm| Some((warm, worth(&ring, &warm)?)));
@@ -37,13 +37,13 @@
             // It may have run: only where a repeat is known, however far that is.
             let known = |server: &Server| self.in_group(now, held, server);
             let fit = |id: &ServerId| !tried(id.0) && servers.get(id).is_some_and(known);
-            match (class.effect, held.attempts.iter().find(|a| a.ran)) {
-                (Effect::Keyed { group: Group::Cell, .. }, Some(ran)) => {
+            match (class.idempotency, held.attempts.iter().find(|a| a.ran)) {
+                (Idempotency::Keyed { scope: DedupScope::Cell, .. }, Some(ran)) => {
                     let cell = (ran.cell, ServerId(0))..=(ran.cell, ServerId(u32::MAX));
                     let fit = self.cells.range(cell).map(|(_, id)| *id).filter(fit);
                     fit.filter_map(|id| Some((worth(&ring, &id)?, id))).max().map(|(_, id)| id)
                 }
-                (Effect::Unsafe, _) => None,
+                (Idempotency::NonIdempotent, _) => None,
                 _ => {
                     let part = Part { start, own: usize::MAX, beyond: false };
                     ring.best(n, at, part, &|id| fit(&ServerId(id))).map(|slot| ServerId(ring.id(slot)))
@@ -74,18 +74,18 @@
         let place = ring::key(fastrand::Rng::with_seed(key).u64(..), 0);
         let round = self.homes.range(place..).chain(self.homes.range(..place));
         let near = round.map(|(_, id)| &self.servers[id].entry).filter(|e| class.placement.allows(e));
-        let draw = |e: &ServerEntry| fastrand::Rng::with_seed(key ^ e.tag).f64().powf(1.0 / e.weight);
+        let draw = |e: &ServerEntry| fastrand::Rng::with_seed(key ^ e.name_hash).f64().powf(1.0 / e.weight);
         near.take(WARM_AMONG).max_by(|a, b| draw(a).total_cmp(&draw(b))).map(|e| e.id)
     }
 
     /// A keyed request that may have run goes out again only within its group and window.
     pub(super) fn in_group(&self, now: Nanos, held: &Held, server: &Server) -> bool {
-        let may_go = |ran: &Attempt| match self.set.classes[held.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { group, window } => {
+        let may_go = |ran: &Attempt| match self.set.classes[held.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { scope: group, window } => {
                 let (near, cell) = (server.entry.zone == ran.zone, server.entry.cell == ran.cell);
-                let same = group == Group::All || near && (cell || group == Group::Zone);
+                let same = group == DedupScope::All || near && (cell || group == DedupScope::Zone);
                 same && now < ran.sent.saturating_add(window)
             }
         };
--- a/crates/decide/src/policy/slow_start.rs
+++ b/crates/decide/src/policy/slow_start.rs
@@ -5,8 +5,8 @@
 impl Balancer {
     /// Share of its full speed that a server has at least, going by its last start.
     pub(super) fn warmth(&self, now: Nanos, entry: &ServerEntry) -> f64 {
-        let age = now.saturating_sub(entry.since) as f64 / self.set.ramp_time.max(1) as f64;
-        let ever = if entry.since == 0 { 1.0 } else { self.set.cold_share };
+        let age = now.saturating_sub(entry.started_at) as f64 / self.set.slow_start_duration.max(1) as f64;
+        let ever = if entry.started_at == 0 { 1.0 } else { self.set.initial_capacity_share };
         (ever + (1.0 - ever) * age).min(1.0)
     }
 
@@ -14,16 +14,16 @@
     pub(super) fn cold_rate(&self, now: Nanos) -> f64 {
         // A server takes what it has under way on the mean, an even part of one job at least.
         let under_way: f64 = self.pools.iter().map(|p| p.answered.get(now, STRAIN_WINDOW)).sum();
-        let jobs =
-            (under_way / STRAIN_WINDOW / self.ring.len().max(1) as f64).max(1.0 / f64::from(self.set.nodes));
+        let jobs = (under_way / STRAIN_WINDOW / self.ring.len().max(1) as f64)
+            .max(1.0 / f64::from(self.set.node_count));
         jobs / mean(self.base.iter().copied()).unwrap_or(SECOND) * COLD_MARGIN
     }
 
     /// Sends left of this node's part of the fall budget of a cold server.
     pub(super) fn allowance(&self, now: Nanos, server: &Server, warmth: f64, cold_rate: f64) -> f64 {
-        let rate = cold_rate * warmth * self.set.fall_multiple * server.entry.weight / self.mean_size();
+        let rate = cold_rate * warmth * self.set.overload_factor * server.entry.weight / self.mean_size();
         // Savings lapse, or all nodes would come to spend theirs at the same time.
         let saved = server.allowance + rate * (now - server.refilled) as f64;
-        saved % (1.0 + rate * self.set.tip_after as f64)
+        saved % (1.0 + rate * self.set.overload_duration as f64)
     }
 }
--- a/crates/decide/src/policy/tuning.rs
+++ b/crates/decide/src/policy/tuning.rs
@@ -1,6 +1,6 @@
 //! Figures that decisions are reckoned with, each with its unit and its reason.
 
-use super::{AttemptBudget, Nanos};
+use super::{Nanos, RetryBudget};
 
 pub const SECOND: f64 = 1e9; // ns
 pub const TICK: Nanos = 50_000_000; // between rounds of housekeeping, ns: short beside what people wait
@@ -15,7 +15,7 @@
 pub const MOST_LATENCIES: f64 = 4.0; // over which the most that was answered in one fades, if that is long
 pub const RETRY_SHARE: f64 = 0.1; // retries, after attempts that may have run, for each request
 pub const RETRY_RESERVE: f64 = 10.0; // such retries that may be saved up
-pub const UNSTATED: AttemptBudget = AttemptBudget { free: f64::INFINITY, share: 0.0, span: 0 };
+pub const UNSTATED: RetryBudget = RetryBudget { base: f64::INFINITY, per_request: 0.0, window: 0 };
 pub const STRIKES: u32 = 2; // failures in a row that eject a server: one may be chance
 pub const EJECT: Nanos = 1_000_000_000; // first time out, ns; doubles with each further failure
 pub const DOUBLINGS: u32 = 4; // of a time out, at most
--- a/crates/decide/src/policy/worth.rs
+++ b/crates/decide/src/policy/worth.rs
@@ -13,11 +13,11 @@
         let mut spent = false;
         if warmth < 1.0 {
             let cold_rate = self.cold_rate(now);
-            let rate = cold_rate * warmth * self.set.fall_multiple * entry.weight / self.mean_size();
+            let rate = cold_rate * warmth * self.set.overload_factor * entry.weight / self.mean_size();
             let left = self.allowance(now, server, warmth, cold_rate);
             spent = left < 1.0;
-            let until = if spent { 1.0 } else { 1.0 + rate * self.set.tip_after as f64 };
-            let step = (self.set.ramp_time / COLD_STEPS).max(TICK);
+            let until = if spent { 1.0 } else { 1.0 + rate * self.set.overload_duration as f64 };
+            let step = (self.set.slow_start_duration / COLD_STEPS).max(TICK);
             wake = now + (((until - left) / rate.max(1e-18)).ceil() as Nanos).clamp(COLD_STEP, step);
         }
         let suspect = server.back_at > now || server.strikes >= STRIKES && server.out > 0;
@@ -134,7 +134,7 @@
         // The paper's dispatcher sees every arrival, a node only its part: with its own rate as λ
         // every q would be near 0 and turns even whatever the speeds, so all nodes count.
         let own = self.asked.get(now, RATE_WINDOW).max(1.0) / RATE_WINDOW;
-        let scale = 1.0 / self.usual_latency() / (own * f64::from(self.set.nodes));
+        let scale = 1.0 / self.usual_latency() / (own * f64::from(self.set.node_count));
         // Kept while it is about right: slopes that stay the same need no drawing.
         let near = (scale / self.speeds.scale - 1.0).abs() < SCALE_NEAR;
         let scale = if near { self.speeds.scale } else { scale };
@@ -158,7 +158,7 @@
 
     /// Ready servers for each node.
     pub(super) fn fair_part(&self) -> f64 {
-        self.ring.len() as f64 / f64::from(self.set.nodes)
+        self.ring.len() as f64 / f64::from(self.set.node_count)
     }
 
     /// What an answer takes, so many deviations over the usual.
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -57,18 +57,18 @@
     fn settings(&self, me: usize) -> Settings {
         let longest = self.work as f64 * self.other.0.max(1.0);
         let class = |work: f64| Class {
-            aim: (work * self.aim) as Nanos,
+            target_latency: (work * self.aim) as Nanos,
             deadline: (longest * self.aim * 2.5) as Nanos,
-            ..class(Effect::Safe)
+            ..class(Idempotency::Idempotent)
         };
         Settings {
-            me: me as u32,
-            nodes: self.reckoned.unwrap_or(self.nodes),
+            node_index: me as u32,
+            node_count: self.reckoned.unwrap_or(self.nodes),
             zone: (me % 3) as u16,
-            cold_share: self.cold_share,
-            ramp_time: self.ramp,
-            fall_multiple: self.multiple,
-            tip_after: self.tip,
+            initial_capacity_share: self.cold_share,
+            slow_start_duration: self.ramp,
+            overload_factor: self.multiple,
+            overload_duration: self.tip,
             max_attempts: 3,
             ..settings(vec![class(self.work as f64), class(self.work as f64 * self.other.0)])
         }
@@ -90,7 +90,8 @@
         let mut nodes: Vec<(Balancer, u32)> =
             (0..self.nodes as usize).map(|me| (Balancer::new(self.settings(me), rng.u64(..)), 0)).collect();
         let list = |cold: bool| -> Vec<ServerEntry> {
-            let line = |n| ServerEntry { since: if cold && self.is_cold(n) { born } else { 0 }, ..entry(n) };
+            let line =
+                |n| ServerEntry { started_at: if cold && self.is_cold(n) { born } else { 0 }, ..entry(n) };
             (0..self.servers).map(line).collect()
         };
         let mut due: BinaryHeap<Reverse<(Nanos, u64, Happens)>> = BinaryHeap::new();
@@ -169,10 +170,10 @@
                         class,
                         tenant: None,
                         key: None,
-                        budget: self.settings(node).classes[class].deadline,
+                        client_timeout: self.settings(node).classes[class].deadline,
                         cost_hint: None,
-                        repeat: false,
-                        long: false,
+                        is_retry: false,
+                        streams_body: false,
                     };
                     nodes[node].0.handle(now, Event::Request(request), &mut out);
                     node
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -7,55 +7,55 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: 400 * MS,
+        target_latency: 400 * MS,
         deadline: 1_000 * MS,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
+        value: 1.0,
+        late_value_share: 0.0,
+        idempotency: effect,
         placement: Placement::default(),
     }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
-        me: 0,
-        nodes: 1,
+        node_index: 0,
+        node_count: 1,
         zone: 0,
         classes,
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_quota_value_share: 1.0,
         discovery: Discovery::Push,
         weighted: false,
-        warm_keys: false,
+        key_affinity: false,
         cross_zone_price: 0.0,
         max_attempts: 4,
-        attempt_budget: None,
-        may_duplicate: false,
+        retry_budget: None,
+        may_hedge: false,
         may_cancel: true,
         may_probe: false,
-        may_tell: false,
+        may_message_peers: false,
         retry_after: true,
         max_retry_after: S,
-        ask_within: 10 * S,
-        cold_share: 0.2,
-        ramp_time: 10 * S,
-        fall_multiple: 3.0,
-        tip_after: S,
+        watch_interval: 10 * S,
+        initial_capacity_share: 0.2,
+        slow_start_duration: 10 * S,
+        overload_factor: 3.0,
+        overload_duration: S,
     }
 }
 
 pub fn entry(n: u32) -> ServerEntry {
     ServerEntry {
         id: ServerId(n),
-        tag: u64::from(n).wrapping_mul(0x9E37_79B9_7F4A_7C15),
+        name_hash: u64::from(n).wrapping_mul(0x9E37_79B9_7F4A_7C15),
         zone: (n % 3) as u16,
-        kind: (n % 2) as u16,
+        host_type: (n % 2) as u16,
         cell: u64::from(n % 6),
         readiness: Readiness::Ready,
         weight: 1.0,
-        since: 0,
+        started_at: 0,
     }
 }
 
@@ -106,7 +106,16 @@
         let id = RequestId(self.next);
         self.next += 1;
         let (tenant, cost_hint, repeat, long) = (None, None, false, false);
-        let request = Request { id, class, tenant, key, budget, cost_hint, repeat, long };
+        let request = Request {
+            id,
+            class,
+            tenant,
+            key,
+            client_timeout: budget,
+            cost_hint,
+            is_retry: repeat,
+            streams_body: long,
+        };
         (id, self.give(Event::Request(request)))
     }
 
@@ -115,7 +124,16 @@
         let id = RequestId(self.next);
         self.next += 1;
         let (tenant, key, cost_hint, repeat, long) = (None, None, None, false, true);
-        let request = Request { id, class, tenant, key, budget, cost_hint, repeat, long };
+        let request = Request {
+            id,
+            class,
+            tenant,
+            key,
+            client_timeout: budget,
+            cost_hint,
+            is_retry: repeat,
+            streams_body: long,
+        };
         (id, self.give(Event::Request(request)))
     }
 
--- a/crates/decide/tests/failures.rs
+++ b/crates/decide/tests/failures.rs
@@ -6,7 +6,7 @@
 use merlinfold_decide::interface::*;
 
 fn steady(servers: u32) -> Node {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), servers, 11);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), servers, 11);
     for _ in 0..200 {
         node.pass(20 * MS);
         node.serve(0, |_| 10 * MS);
@@ -50,7 +50,8 @@
 fn a_new_server_does_not_draw_the_next_request_of_every_node() {
     let mut drawn = 0;
     for me in 0..60 {
-        let set = Settings { me, nodes: 60, ..settings(vec![class(Effect::Safe)]) };
+        let set =
+            Settings { node_index: me, node_count: 60, ..settings(vec![class(Idempotency::Idempotent)]) };
         let mut node = Node::new(set, 5, u64::from(me));
         for _ in 0..40 {
             node.pass(100 * MS);
@@ -92,7 +93,7 @@
 #[test]
 fn a_full_server_is_left_alone_for_a_while() {
     let mut node = steady(2);
-    while !serve_but(&mut node, |s| s.0 == 1, Status::Full).contains(&1) {
+    while !serve_but(&mut node, |s| s.0 == 1, Status::Rejected).contains(&1) {
         node.pass(20 * MS);
     }
     for _ in 0..3 {
@@ -110,7 +111,7 @@
     let mut sent_late = 0;
     for turn in 0..100 {
         node.pass(100 * MS);
-        let visited = serve_but(&mut node, |_| true, Status::Full);
+        let visited = serve_but(&mut node, |_| true, Status::Rejected);
         if turn >= 50 {
             asked_late += 1;
             sent_late += usize::from(!visited.is_empty());
@@ -124,7 +125,7 @@
     let mut node = steady(4);
     for _ in 0..100 {
         node.pass(20 * MS);
-        serve_but(&mut node, |_| true, Status::Full);
+        serve_but(&mut node, |_| true, Status::Rejected);
     }
     node.pass(30 * S);
     assert!(node.serve(0, |_| 10 * MS).is_some());
@@ -132,9 +133,9 @@
 
 #[test]
 fn requests_wait_at_the_node_while_its_servers_are_taken_and_the_worthiest_goes_first() {
-    let dear = Class { worth: 9.0, ..class(Effect::Safe) };
+    let dear = Class { value: 9.0, ..class(Idempotency::Idempotent) };
     // A seed by which neither server is the one in so many that takes one more, to learn from.
-    let mut node = Node::new(settings(vec![class(Effect::Safe), dear]), 2, 5);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent), dear]), 2, 5);
     // Pairs that share a server take twice as long: its depth is one.
     for _ in 0..120 {
         node.pass(100 * MS);
@@ -168,7 +169,16 @@
     let mut ask = |repeat| {
         let (class, tenant, key, budget, cost_hint) = (0, None, None, 300 * MS, None);
         let id = RequestId(90_000 + u64::from(repeat));
-        node.give(Event::Request(Request { id, class, tenant, key, budget, cost_hint, repeat, long: false }))
+        node.give(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            key,
+            client_timeout: budget,
+            cost_hint,
+            is_retry: repeat,
+            streams_body: false,
+        }))
     };
     assert!(refused(&ask(true)), "700 ms of the 1,000 have gone, the aim is 400");
     assert!(sent(&ask(false)).is_some(), "a first try with little time is tried");
@@ -176,14 +186,19 @@
 
 /// What `from` has to tell after a request; none unless it may.
 fn told(from: &mut Node) -> Vec<(Option<u32>, Vec<u8>)> {
-    let tell = |a: Action| if let Action::Tell { to, bytes } = a { Some((to, bytes)) } else { None };
+    let tell = |a: Action| if let Action::SendToPeers { to, bytes } = a { Some((to, bytes)) } else { None };
     from.pass(20 * S).into_iter().filter_map(tell).collect()
 }
 
 #[test]
 fn a_node_hears_from_its_peers_which_servers_are_slow() {
     // Issue 6: at 7 requests a second over 114 servers a node meets each one every 16 s.
-    let set = |me| Settings { me, nodes: 300, may_tell: true, ..settings(vec![class(Effect::Safe)]) };
+    let set = |me| Settings {
+        node_index: me,
+        node_count: 300,
+        may_message_peers: true,
+        ..settings(vec![class(Idempotency::Idempotent)])
+    };
     let (mut knows, mut hears) = (Node::new(set(0), 12, 1), Node::new(set(1), 12, 2));
     let slow = |s: ServerId| if s.0 < 6 { 90 * MS } else { 10 * MS };
     let mut messages = vec![];
@@ -195,15 +210,15 @@
     assert!(!messages.is_empty());
     for (to, bytes) in messages {
         assert!(to.is_some_and(|to| to > 0 && to < 300), "one peer, not itself");
-        assert!(bytes.len() <= MESSAGE_MOST);
+        assert!(bytes.len() <= MAX_MESSAGE_BYTES);
         hears.pass(100 * MS);
-        hears.give(Event::Peer { from: 0, bytes });
+        hears.give(Event::PeerMessage { from: 0, bytes });
     }
     hears.pass(100 * MS);
     let first: Vec<_> = (0..20).filter_map(|_| hears.serve(0, |_| 20 * MS)).collect();
     let to_slow = first.iter().filter(|s| s.0 < 6).count();
     assert!(to_slow <= 6, "{first:?}");
-    hears.give(Event::Peer { from: 0, bytes: vec![1, 2, 3, 4, 5, 6, 7] });
+    hears.give(Event::PeerMessage { from: 0, bytes: vec![1, 2, 3, 4, 5, 6, 7] });
     assert!(hears.serve(0, |_| 20 * MS).is_some(), "a message that makes no sense does no harm");
 }
 
@@ -216,7 +231,7 @@
 
 #[test]
 fn a_node_of_many_sends_by_speed_though_its_own_rate_is_small() {
-    let set = Settings { nodes: 300, ..settings(vec![class(Effect::Safe)]) };
+    let set = Settings { node_count: 300, ..settings(vec![class(Idempotency::Idempotent)]) };
     let mut node = Node::new(set, 2, 5);
     let mut fast = 0;
     for turn in 0..600 {
@@ -229,7 +244,8 @@
 
 #[test]
 fn one_key_goes_mostly_to_one_server_where_keys_are_kept_warm() {
-    let set = Settings { warm_keys: true, nodes: 20, ..settings(vec![class(Effect::Safe)]) };
+    let set =
+        Settings { key_affinity: true, node_count: 20, ..settings(vec![class(Idempotency::Idempotent)]) };
     let mut node = Node::new(set, 9, 5);
     let mut counts = [0; 9];
     for n in 0..300 {
@@ -241,10 +257,10 @@
             class: 0,
             tenant: None,
             key,
-            budget: S,
+            client_timeout: S,
             cost_hint: None,
-            repeat: false,
-            long: false,
+            is_retry: false,
+            streams_body: false,
         };
         let server = sent(&node.give(Event::Request(request))).expect("sent");
         node.end(id, 0, server, Status::Ok, 10 * MS);
@@ -261,11 +277,11 @@
     let mut large = 0;
     for me in 0..100 {
         let set = Settings {
-            me,
-            nodes: 100,
+            node_index: me,
+            node_count: 100,
             weighted: true,
-            warm_keys: true,
-            ..settings(vec![class(Effect::Safe)])
+            key_affinity: true,
+            ..settings(vec![class(Idempotency::Idempotent)])
         };
         let mut node = Node::new(set, 0, u64::from(me));
         let sized = |n| ServerEntry { weight: if n < 20 { 1.5 } else { 0.5 }, ..entry(n) };
@@ -283,7 +299,7 @@
 
 #[test]
 fn live_weights_and_absent_ones_change_no_share() {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 0, 5);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 0, 5);
     let loaded = |n| ServerEntry { weight: if n < 2 { 0.0 } else { 9.0 }, ..entry(n) };
     node.list(ListKind::Persisted, (0..4).map(loaded).collect());
     let mut turns = [0; 4];
@@ -299,7 +315,7 @@
     // Incident ic0c587: slow answers of cold servers had two thirds of the requests refused.
     let mut node = steady(4);
     let since = node.at;
-    node.list(ListKind::Partial, (4..16).map(|n| ServerEntry { since, ..entry(n) }).collect());
+    node.list(ListKind::Partial, (4..16).map(|n| ServerEntry { started_at: since, ..entry(n) }).collect());
     let mut cold = 0;
     for turn in 0..300 {
         node.pass(20 * MS);
@@ -333,7 +349,7 @@
 #[test]
 fn answers_lost_on_the_way_refuse_little_while_others_come_in_time() {
     // Days of lost answers at hearth-main: a quarter was refused at 70% load.
-    let mut node = Node::new(settings(vec![class(Effect::Unsafe)]), 12, 11);
+    let mut node = Node::new(settings(vec![class(Idempotency::NonIdempotent)]), 12, 11);
     let (mut refusals, mut lost) = (0, vec![]);
     for turn in 0..400u32 {
         node.pass(50 * MS);
@@ -381,13 +397,13 @@
 #[test]
 fn classes_that_may_go_anywhere_leave_room_to_those_bound_to_a_few_servers() {
     // Incident i7f4639: 70% of what a bound class sent was not answered on servers that all filled.
-    let only = Placement { zones: None, kinds: Some(vec![1]) };
-    let bound = Class { placement: only, ..class(Effect::Safe) };
-    let mut node = Node::new(settings(vec![class(Effect::Safe), bound]), 12, 5);
+    let only = Placement { zones: None, host_types: Some(vec![1]) };
+    let bound = Class { placement: only, ..class(Idempotency::Idempotent) };
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent), bound]), 12, 5);
     let mut shared = 0;
     for turn in 0..400 {
         node.pass(20 * MS);
-        let at_kind_1 = |s: Option<ServerId>| s.is_some_and(|s| entry(s.0).kind == 1);
+        let at_kind_1 = |s: Option<ServerId>| s.is_some_and(|s| entry(s.0).host_type == 1);
         assert!(at_kind_1(node.serve(1, |_| 10 * MS)));
         let free = node.serve(0, |_| 10 * MS);
         shared += u32::from(turn >= 100 && at_kind_1(free));
@@ -395,7 +411,7 @@
     assert!(shared < 30, "half of all work is bound to half of the servers, yet {shared} of 300 joined it");
     let alone = (0..100).filter(|_| {
         node.pass(100 * MS);
-        node.serve(0, |_| 10 * MS).is_some_and(|s| entry(s.0).kind == 1)
+        node.serve(0, |_| 10 * MS).is_some_and(|s| entry(s.0).host_type == 1)
     });
     assert!(alone.count() > 30, "room that nobody needs is used");
 }
@@ -403,7 +419,7 @@
 #[test]
 fn a_node_that_starts_within_a_jam_does_not_take_it_for_the_usual() {
     // Incident i7f4639: 280 ms were learned as the latency without queues of a class that needs 95.
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 6, 11);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 6, 11);
     let mut refusals = 0;
     for _ in 0..300 {
         node.pass(50 * MS);
@@ -425,14 +441,14 @@
 
 #[test]
 fn a_server_is_weighed_by_its_own_account_where_most_of_an_answer_is_waiting_on_others() {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 2, 5);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 2, 5);
     let mut fast = 0;
     for turn in 0..400 {
         node.pass(50 * MS);
         let (id, actions) = node.ask(0, S);
         let server = sent(&actions).expect("a server is ready");
         let own = if server.0 == 0 { 40 * MS } else { 10 * MS };
-        let report = Some(LoadReport { latency: Some(own), ..LoadReport::default() });
+        let report = Some(LoadReport { service_time: Some(own), ..LoadReport::default() });
         let (attempt, status, latency, terminal) = (0, Status::Ok, 80 * MS + own, true);
         node.give(Event::Outcome { id, attempt, server, status, latency, terminal, report });
         fast += u32::from(turn >= 100 && server.0 == 1);
@@ -444,7 +460,12 @@
 fn a_busy_node_takes_no_tenant_within_its_share_for_one_beyond_it() {
     // Incident if84a4d: 78% of what a tenant asked within its share was served, at idle servers.
     let tenants = vec![Tenant { quota_per_s: 20.0 }; 4];
-    let set = Settings { tenants, over_share_worth: 0.05, nodes: 4, ..settings(vec![class(Effect::Safe)]) };
+    let set = Settings {
+        tenants,
+        over_quota_value_share: 0.05,
+        node_count: 4,
+        ..settings(vec![class(Idempotency::Idempotent)])
+    };
     let mut node = Node::new(set, 6, 11);
     let mut refusals = [0u32; 4];
     let mut lately = std::collections::VecDeque::from([false; 20]);
@@ -454,8 +475,16 @@
         let tenant = [0, 3, 1, 3, 2, 3][turn as usize % 6];
         let id = RequestId(50_000 + turn);
         let (key, budget, cost_hint, repeat) = (None, S, None, false);
-        let asked =
-            Request { id, class: 0, tenant: Some(tenant), key, budget, cost_hint, repeat, long: false };
+        let asked = Request {
+            id,
+            class: 0,
+            tenant: Some(tenant),
+            key,
+            client_timeout: budget,
+            cost_hint,
+            is_retry: repeat,
+            streams_body: false,
+        };
         let server = sent(&node.give(Event::Request(asked)));
         lately.rotate_left(1);
         lately[19] = server.is_some();
@@ -473,7 +502,7 @@
 #[test]
 fn turning_one_tenant_away_is_no_reason_to_refuse_the_rest() {
     // Throttled days at lima-telemetria: 'full' from servers that have room had two thirds refused.
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 8, 11);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 8, 11);
     let mut refusals = 0;
     for turn in 0..300u64 {
         node.pass(20 * MS);
@@ -483,7 +512,7 @@
             let Some(server) = sent(&actions) else { break };
             let full = server.0 < 3 && turn % 4 == 0;
             let took = (4 << (turn % 5)) * MS;
-            actions = node.end(id, attempt, server, if full { Status::Full } else { Status::Ok }, took);
+            actions = node.end(id, attempt, server, if full { Status::Rejected } else { Status::Ok }, took);
         }
     }
     assert!(refusals < 30, "{refusals} of 300 refused");
@@ -491,14 +520,14 @@
 
 /// Sends to a server that has just started beside five warm ones, in 4 s; `held` requests come every 10 ms.
 fn sends_to_the_cold(held: usize) -> usize {
-    let set = Settings { nodes: 50, ..settings(vec![class(Effect::Safe)]) };
+    let set = Settings { node_count: 50, ..settings(vec![class(Idempotency::Idempotent)]) };
     let mut node = Node::new(set, 6, 11);
     let mut open = std::collections::VecDeque::<(RequestId, ServerId, Nanos)>::new();
     let mut cold = 0;
     for turn in 0..1200 {
         if turn == 800 {
             let since = node.at;
-            node.list(ListKind::Partial, vec![ServerEntry { since, ..entry(0) }]);
+            node.list(ListKind::Partial, vec![ServerEntry { started_at: since, ..entry(0) }]);
         }
         node.pass(10 * MS);
         while open.front().is_some_and(|&(.., until)| until <= node.at) {
@@ -524,9 +553,9 @@
 
 #[test]
 fn a_fleet_that_has_just_started_as_a_whole_is_used() {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 0, 11);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 0, 11);
     let since = node.at;
-    node.list(ListKind::Complete, (0..6).map(|n| ServerEntry { since, ..entry(n) }).collect());
+    node.list(ListKind::Complete, (0..6).map(|n| ServerEntry { started_at: since, ..entry(n) }).collect());
     let served = (0..100).filter(|_| {
         node.pass(50 * MS);
         node.serve(0, |_| 40 * MS).is_some()
@@ -537,7 +566,7 @@
 #[test]
 fn attempts_that_are_never_answered_are_no_crowd() {
     // case1754: one attempt in 35 got no answer, and a third of all requests was refused at low load.
-    let mut node = Node::new(settings(vec![class(Effect::Unsafe)]), 12, 11);
+    let mut node = Node::new(settings(vec![class(Idempotency::NonIdempotent)]), 12, 11);
     for _ in 0..200 {
         node.pass(10 * MS);
         node.serve(0, |_| 5 * MS);
@@ -576,7 +605,7 @@
         let (id, mut actions) = node.ask(0, S);
         let mut attempt = 0;
         while let Some(server) = sent(&actions) {
-            let end = if server.0 < 8 { Status::Full } else { Status::Ok };
+            let end = if server.0 < 8 { Status::Rejected } else { Status::Ok };
             actions = node.end(id, attempt, server, end, took(server));
             attempt += 1;
         }
@@ -589,7 +618,7 @@
 fn a_class_that_some_servers_turn_away_learns_to_go_elsewhere_and_leaves_them_to_the_rest() {
     // case3480: eight servers turned track-fetch away and served tour-redeem; a speed that both classes
     // shared brought each server back into turn for the one with every answer to the other.
-    let mut node = Node::new(settings(vec![class(Effect::Safe); 2]), 15, 11);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent); 2]), 15, 11);
     let (mut away, mut kept) = (0, 0);
     for turn in 0..600 {
         node.pass(20 * MS);
@@ -598,7 +627,7 @@
         while let Some(server) = sent(&actions) {
             let bad = server.0 < 8;
             away += u32::from(bad && turn >= 200);
-            let (end, took) = if bad { (Status::Full, 30 * MS) } else { (Status::Ok, 10 * MS) };
+            let (end, took) = if bad { (Status::Rejected, 30 * MS) } else { (Status::Ok, 10 * MS) };
             actions = node.end(id, attempt, server, end, took);
             attempt += 1;
         }
@@ -611,7 +640,7 @@
 
 #[test]
 fn servers_that_are_gone_are_forgotten_when_nothing_of_theirs_is_open() {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 8, 5);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 8, 5);
     let (id, actions) = node.ask(0, S);
     let held = sent(&actions).expect("it is sent");
     // A hundred fleets come and go while one server still owes an answer.
@@ -627,7 +656,7 @@
 #[test]
 fn what_was_sent_before_a_server_was_put_out_does_not_keep_it_out_longer() {
     // Found by search: a handful of attempts that failed together cost a server sixteen seconds for a trouble of one.
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 2, 3);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 2, 3);
     for _ in 0..50 {
         node.pass(20 * MS);
         node.serve(0, |_| 10 * MS);
@@ -679,7 +708,7 @@
         node.pass(8 * MS);
         let ended = node.end(id, 0, server, Status::Timeout, 8 * MS);
         assert!(refused(&ended), "its time is over: {ended:?}");
-        assert_eq!(node.balancer.avoided(node.at), 0, "{server:?} is out after {hits:?}");
+        assert_eq!(node.balancer.excluded_servers(node.at), 0, "{server:?} is out after {hits:?}");
     }
     assert!(hits.iter().all(|&hits| hits >= 10), "{hits:?}");
 }
@@ -693,7 +722,7 @@
     let (_, actions) = node.ask(0, 8 * MS);
     assert!(sent(&actions).is_some(), "{actions:?}");
     // What is not known yet refuses nobody.
-    let mut fresh = Node::new(settings(vec![class(Effect::Safe)]), 6, 11);
+    let mut fresh = Node::new(settings(vec![class(Idempotency::Idempotent)]), 6, 11);
     let (_, actions) = fresh.ask(0, 2 * MS);
     assert!(sent(&actions).is_some(), "{actions:?}");
 }
--- a/crates/decide/tests/mechanism.rs
+++ b/crates/decide/tests/mechanism.rs
@@ -7,7 +7,7 @@
 
 /// Sequence of servers once rates are known and steady: one request every `gap`.
 fn sequence(speeds: &[f64], gap: Nanos, length: usize) -> Vec<u32> {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), speeds.len() as u32, 5);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), speeds.len() as u32, 5);
     let mut turns = Vec::new();
     for _ in 0..3_000 {
         node.pass(gap);
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_draining_server_leaves_the_rotation_at_once_and_turns_stay_even() {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 4, 9);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 4, 9);
     for _ in 0..40 {
         node.at += 20 * MS;
         node.serve(0, |_| 10 * MS);
@@ -69,7 +69,7 @@
 
 #[test]
 fn turns_are_even_again_after_a_server_joins() {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 3, 9);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 3, 9);
     for _ in 0..30 {
         node.pass(20 * MS);
         node.serve(0, |_| 10 * MS);
@@ -89,7 +89,7 @@
 
 #[test]
 fn a_single_server_and_a_single_attempt_are_enough() {
-    let set = Settings { max_attempts: 1, ..settings(vec![class(Effect::Safe)]) };
+    let set = Settings { max_attempts: 1, ..settings(vec![class(Idempotency::Idempotent)]) };
     let mut node = Node::new(set, 1, 2);
     for _ in 0..20 {
         node.pass(20 * MS);
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -97,7 +97,8 @@
 }
 
 fn play(world: &World) -> Vec<Second> {
-    let class = Class { aim: world.aim, deadline: world.aim * 5 / 2, ..class(Effect::Safe) };
+    let class =
+        Class { target_latency: world.aim, deadline: world.aim * 5 / 2, ..class(Idempotency::Idempotent) };
     let deadline = class.deadline;
     let mut balancer = Balancer::new(settings(vec![class]), world.seed);
     let mut rng = fastrand::Rng::with_seed(world.seed);
@@ -173,10 +174,10 @@
                     class: 0,
                     tenant: None,
                     key: None,
-                    budget: deadline,
+                    client_timeout: deadline,
                     cost_hint: None,
-                    repeat: false,
-                    long: false,
+                    is_retry: false,
+                    streams_body: false,
                 };
                 balancer.handle(now, Event::Request(request), &mut out);
                 continue;
@@ -341,7 +342,7 @@
 #[test]
 fn a_refusal_for_failed_attempts_alone_says_to_come_back_soon() {
     // Servers are idle, and both it tried broke off: nothing has to clear but this.
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 8, 3);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 8, 3);
     for _ in 0..200 {
         node.pass(20 * MS);
         node.serve(0, |_| 10 * MS);
@@ -372,7 +373,8 @@
 #[test]
 fn a_short_aim_leaves_time_to_wait_for_a_server() {
     // A margin of two ticks, 100 ms, was more than such an aim: what found no server free was refused untried.
-    let mut node = Node::new(settings(vec![Class { aim: 60 * MS, ..class(Effect::Safe) }]), 1, 3);
+    let mut node =
+        Node::new(settings(vec![Class { target_latency: 60 * MS, ..class(Idempotency::Idempotent) }]), 1, 3);
     let mut last = None;
     for _ in 0..40 {
         // Two at a time, and the server of one slot takes twice as long for the second.
--- a/crates/decide/tests/reconfigured.rs
+++ b/crates/decide/tests/reconfigured.rs
@@ -6,11 +6,11 @@
 use merlinfold_decide::interface::*;
 
 fn two_classes() -> Settings {
-    settings(vec![class(Effect::Safe), class(Effect::Safe)])
+    settings(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)])
 }
 
-fn reconfigure(node: &mut Node, change: impl FnOnce(&mut Figures)) {
-    let mut figures = two_classes().figures();
+fn reconfigure(node: &mut Node, change: impl FnOnce(&mut DynamicSettings)) {
+    let mut figures = two_classes().dynamic_settings();
     change(&mut figures);
     let actions = node.give(Event::Reconfigured(Box::new(figures)));
     assert!(actions.iter().all(|action| matches!(action, Action::Timer { .. })), "{actions:?}");
@@ -32,7 +32,7 @@
     let mut other = Node::new(two_classes(), 6, 3);
     assert_eq!(turns(&mut one, 400), turns(&mut other, 400));
     reconfigure(&mut other, |figures| {
-        figures.classes[1].worth = 7.0;
+        figures.classes[1].value = 7.0;
         figures.tenants.push(Tenant { quota_per_s: 3.0 });
     });
     assert_eq!(turns(&mut one, 400), turns(&mut other, 400));
@@ -60,7 +60,7 @@
     turns(&mut node, 400); // what cannot be answered in time is told by what answers have taken
     let (old, actions) = node.ask(0, S);
     let old_at = sent(&actions).unwrap();
-    reconfigure(&mut node, |figures| figures.classes[0].late_worth = 0.5);
+    reconfigure(&mut node, |figures| figures.classes[0].late_value_share = 0.5);
     let (new, actions) = node.ask(0, S);
     let new_at = sent(&actions).unwrap();
     node.at += 399 * MS; // the aim is 400 ms
@@ -82,10 +82,10 @@
             class: 0,
             tenant: Some(tenant),
             key: None,
-            budget: S,
+            client_timeout: S,
             cost_hint: None,
-            repeat: false,
-            long: false,
+            is_retry: false,
+            streams_body: false,
         };
         assert!(sent(&node.give(Event::Request(request))).is_some(), "tenant {tenant}");
     }
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -8,17 +8,17 @@
 
 const WINDOW: Nanos = 300 * MS;
 
-fn keyed(group: Group) -> Effect {
-    Effect::Keyed { group, window: WINDOW }
+fn keyed(group: DedupScope) -> Idempotency {
+    Idempotency::Keyed { scope: group, window: WINDOW }
 }
 
-fn node(effect: Effect, servers: u32) -> Node {
+fn node(effect: Idempotency, servers: u32) -> Node {
     Node::new(settings(vec![class(effect)]), servers, 3)
 }
 
 #[test]
 fn no_server_left_is_answered_within_the_wait() {
-    let mut node = node(Effect::Safe, 0);
+    let mut node = node(Idempotency::Idempotent, 0);
     let (_, mut actions) = node.ask(0, S);
     actions.extend(node.pass(S));
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count(), 1);
@@ -26,7 +26,7 @@
 
 #[test]
 fn zero_and_tiny_budgets_are_answered_at_once_or_sent() {
-    let mut node = node(Effect::Safe, 3);
+    let mut node = node(Idempotency::Idempotent, 3);
     let (_, actions) = node.ask(0, 0);
     assert!(refused(&actions) && sent(&actions).is_none());
     let (_, actions) = node.ask(0, 1);
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_time_out_at_the_deadline_is_failed_or_refused_once() {
-    let mut node = node(Effect::Unsafe, 3);
+    let mut node = node(Idempotency::NonIdempotent, 3);
     let (id, actions) = node.ask(0, S);
     let server = sent(&actions).expect("sent");
     node.at += S;
@@ -46,15 +46,15 @@
 #[test]
 fn an_unsafe_request_goes_out_again_only_after_proof_that_it_never_ran() {
     for (status, again) in [
-        (Status::Full, true),
+        (Status::Rejected, true),
         (Status::ConnectFailed, true),
-        (Status::Moot, true),
+        (Status::NotSent, true),
         (Status::Error, false),
         (Status::Reset, false),
         (Status::Timeout, false),
         (Status::Cancelled, false),
     ] {
-        let mut node = node(Effect::Unsafe, 6);
+        let mut node = node(Idempotency::NonIdempotent, 6);
         let (id, actions) = node.ask(0, S);
         let server = sent(&actions).expect("sent");
         node.at += MS;
@@ -69,21 +69,21 @@
 #[test]
 fn every_end_of_an_attempt_lets_just_what_its_class_allows_follow() {
     let ends = [
-        (Status::Full, false),
+        (Status::Rejected, false),
         (Status::ConnectFailed, false),
-        (Status::Moot, false),
+        (Status::NotSent, false),
         (Status::Error, true),
         (Status::Reset, true),
         (Status::Timeout, true),
         (Status::Cancelled, true),
     ];
     let effects = [
-        Effect::Safe,
-        keyed(Group::All),
-        keyed(Group::Zone),
-        keyed(Group::Cell),
-        Effect::Keyed { group: Group::All, window: 0 },
-        Effect::Unsafe,
+        Idempotency::Idempotent,
+        keyed(DedupScope::All),
+        keyed(DedupScope::Zone),
+        keyed(DedupScope::Cell),
+        Idempotency::Keyed { scope: DedupScope::All, window: 0 },
+        Idempotency::NonIdempotent,
     ];
     for effect in effects {
         for (status, may_have_run) in ends {
@@ -96,12 +96,15 @@
                 node.at += after;
                 let end = node.end(id, 0, server, status, after);
                 let window = match effect {
-                    Effect::Keyed { window, .. } => after < window,
-                    Effect::Safe => true,
-                    Effect::Unsafe => false,
+                    Idempotency::Keyed { window, .. } => after < window,
+                    Idempotency::Idempotent => true,
+                    Idempotency::NonIdempotent => false,
                 };
                 let again = attempts > 1 && (!may_have_run || window);
-                let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+                let harmless = matches!(
+                    effect,
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
+                );
                 let refuses = !again && (!may_have_run || harmless);
                 let seen = (sent(&end).is_some(), refused(&end), failed(&end));
                 let wanted = (again, refuses, !again && !refuses);
@@ -113,15 +116,15 @@
 
 #[test]
 fn a_keyed_request_stays_in_its_group() {
-    for group in [Group::All, Group::Zone, Group::Cell] {
+    for group in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         for seed in 0..20 {
             let mut node = Node::new(settings(vec![class(keyed(group))]), 24, seed);
             let (id, actions) = node.ask(0, S);
             let first = sent(&actions).expect("sent").0;
             node.at += 5 * MS;
             if let Some(ServerId(second)) = sent(&node.end(id, 0, ServerId(first), Status::Error, 5 * MS)) {
-                assert!(group == Group::All || first % 3 == second % 3);
-                assert!(group != Group::Cell || first % 6 == second % 6);
+                assert!(group == DedupScope::All || first % 3 == second % 3);
+                assert!(group != DedupScope::Cell || first % 6 == second % 6);
                 node.end(id, 1, ServerId(second), Status::Ok, 5 * MS);
             }
         }
@@ -130,7 +133,7 @@
 
 #[test]
 fn a_keyed_repeat_is_measured_from_the_first_attempt_that_might_have_run() {
-    let mut node = node(keyed(Group::All), 9);
+    let mut node = node(keyed(DedupScope::All), 9);
     let (id, actions) = node.ask(0, S);
     let first = sent(&actions).expect("sent");
     node.at += 200 * MS;
@@ -146,11 +149,12 @@
 fn a_keyed_repeat_says_how_soon_it_has_to_be_written() {
     let within = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Send { within, .. } => Some(*within),
+            Action::Send { send_within: within, .. } => Some(*within),
             _ => None,
         })
     };
-    let mut node = Node::new(settings(vec![class(keyed(Group::All)), class(Effect::Safe)]), 6, 3);
+    let mut node =
+        Node::new(settings(vec![class(keyed(DedupScope::All)), class(Idempotency::Idempotent)]), 6, 3);
     let (id, first) = node.ask(0, S);
     assert_eq!(within(&first), Some(None), "a first attempt may go whenever it can");
     node.at += 100 * MS;
@@ -166,7 +170,7 @@
 
 #[test]
 fn a_keyed_request_of_a_zone_is_failed_not_refused_once_it_may_have_run() {
-    let mut node = node(keyed(Group::Zone), 1);
+    let mut node = node(keyed(DedupScope::Zone), 1);
     let (id, actions) = node.ask(0, S);
     let server = sent(&actions).expect("sent");
     node.at += 350 * MS;
@@ -176,10 +180,10 @@
 
 #[test]
 fn a_client_that_leaves_is_owed_nothing_and_its_attempt_is_still_accounted_for() {
-    let mut node = node(Effect::Safe, 3);
+    let mut node = node(Idempotency::Idempotent, 3);
     let (id, actions) = node.ask(0, S);
     let server = sent(&actions).expect("sent");
-    assert!(node.give(Event::Gone(id)).is_empty());
+    assert!(node.give(Event::ClientGone(id)).is_empty());
     let late = node.give(Event::Outcome {
         id,
         attempt: 0,
@@ -194,10 +198,10 @@
 
 #[test]
 fn a_begun_stream_gets_no_other_answer() {
-    let mut node = node(Effect::Safe, 3);
+    let mut node = node(Idempotency::Idempotent, 3);
     let (id, actions) = node.ask(0, S);
     let server = sent(&actions).expect("sent");
-    node.give(Event::Begun { id, attempt: 0, latency: MS });
+    node.give(Event::ResponseStarted { id, attempt: 0, latency: MS });
     node.at += 3 * S;
     let end = node.give(Event::Outcome {
         id,
@@ -213,8 +217,8 @@
 
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
-    for readiness in [Readiness::Draining, Readiness::Gone] {
-        let mut node = node(Effect::Safe, 2);
+    for readiness in [Readiness::Draining, Readiness::Removed] {
+        let mut node = node(Idempotency::Idempotent, 2);
         node.list(ListKind::Partial, vec![ServerEntry { readiness, ..entry(0) }]);
         for _ in 0..50 {
             node.at += 20 * MS;
@@ -225,7 +229,7 @@
 
 #[test]
 fn a_server_missing_from_a_full_list_is_gone() {
-    let mut node = node(Effect::Safe, 3);
+    let mut node = node(Idempotency::Idempotent, 3);
     node.list(ListKind::Complete, vec![entry(1)]);
     for _ in 0..20 {
         node.at += 20 * MS;
@@ -235,9 +239,9 @@
 
 #[test]
 fn out_by_hand_lasts_whatever_the_list_says_until_one_call_back_and_the_return_is_cold() {
-    let mut node = node(Effect::Safe, 2);
+    let mut node = node(Idempotency::Idempotent, 2);
     let out = |node: &mut Node, out| {
-        node.give(Event::Maintenance { server: ServerId(0), out, since: node.at });
+        node.give(Event::Maintenance { server: ServerId(0), out, ordered_at: node.at });
     };
     let only_the_other = |node: &mut Node, when: &str| {
         for _ in 0..50 {
@@ -248,15 +252,15 @@
     out(&mut node, true);
     out(&mut node, true);
     only_the_other(&mut node, "out");
-    assert_eq!(node.balancer.avoided(node.at), 1);
-    node.list(ListKind::Partial, vec![ServerEntry { readiness: Readiness::Gone, ..entry(0) }]);
+    assert_eq!(node.balancer.excluded_servers(node.at), 1);
+    node.list(ListKind::Partial, vec![ServerEntry { readiness: Readiness::Removed, ..entry(0) }]);
     only_the_other(&mut node, "gone as well");
-    node.list(ListKind::Partial, vec![ServerEntry { since: node.at, ..entry(0) }]);
+    node.list(ListKind::Partial, vec![ServerEntry { started_at: node.at, ..entry(0) }]);
     only_the_other(&mut node, "started anew");
     node.list(ListKind::Complete, vec![entry(0), entry(1)]);
     only_the_other(&mut node, "in a whole list");
     out(&mut node, false);
-    assert!(node.balancer.is_ready(ServerId(0)) && node.balancer.avoided(node.at) == 0);
+    assert!(node.balancer.is_ready(ServerId(0)) && node.balancer.excluded_servers(node.at) == 0);
     node.list(ListKind::Complete, vec![entry(0), entry(1)]); // which has it as started long ago
     let mut back = 0;
     for _ in 0..50 {
@@ -269,20 +273,20 @@
 
 #[test]
 fn with_all_servers_out_requests_are_refused_at_once_and_served_again_after_one_is_back() {
-    let mut node = node(Effect::Safe, 2);
+    let mut node = node(Idempotency::Idempotent, 2);
     let since = node.at;
     for n in 0..2 {
-        node.give(Event::Maintenance { server: ServerId(n), out: true, since });
+        node.give(Event::Maintenance { server: ServerId(n), out: true, ordered_at: since });
     }
     assert!(refused(&node.ask(0, S).1));
-    node.give(Event::Maintenance { server: ServerId(1), out: false, since });
+    node.give(Event::Maintenance { server: ServerId(1), out: false, ordered_at: since });
     assert!(!refused(&node.ask(0, S).1));
 }
 
 /// Guards against refusals for uploads: while a body is still coming no server works on it.
 #[test]
 fn long_requests_on_their_way_keep_no_server_busy_and_refuse_nobody() {
-    let mut node = node(Effect::Safe, 4);
+    let mut node = node(Idempotency::Idempotent, 4);
     for _ in 0..50 {
         node.at += 20 * MS;
         node.serve(0, |_| 10 * MS);
@@ -296,7 +300,7 @@
     }
     node.pass(5 * S);
     for (id, server) in coming {
-        node.give(Event::Uploaded(id));
+        node.give(Event::BodySent(id));
         let latency = 10 * MS;
         node.at += latency;
         assert!(!failed(&node.end(id, 0, server, Status::Ok, latency)));
@@ -307,19 +311,19 @@
 /// A long request that never reached its server may go out again, in the time that it has from its last byte on.
 #[test]
 fn a_long_request_has_its_time_from_its_last_byte_on() {
-    let mut node = Node::new(settings(vec![class(Effect::Unsafe)]), 3, 3);
+    let mut node = Node::new(settings(vec![class(Idempotency::NonIdempotent)]), 3, 3);
     let (id, actions) = node.ask_long(0, S);
     let server = sent(&actions).expect("sent");
     node.pass(3 * S);
-    node.give(Event::Uploaded(id));
+    node.give(Event::BodySent(id));
     node.at += 10 * MS;
-    let again = node.end(id, 0, server, Status::Full, 10 * MS);
+    let again = node.end(id, 0, server, Status::Rejected, 10 * MS);
     assert!(sent(&again).is_some(), "turned away unseen: another may take it");
 }
 
 #[test]
 fn asking_for_the_list_goes_on_after_failures_and_stops_when_subscribed() {
-    let set = Settings { discovery: Discovery::Ask, ..settings(vec![class(Effect::Safe)]) };
+    let set = Settings { discovery: Discovery::Watch, ..settings(vec![class(Idempotency::Idempotent)]) };
     let mut node = Node::new(set, 3, 8);
     let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
     for _ in 0..6 {
@@ -344,7 +348,11 @@
     let service = 20 * MS;
     let mut fleet: Vec<Node> = (0..nodes)
         .map(|me| {
-            let set = Settings { me, nodes, ..settings(vec![class(Effect::Safe)]) };
+            let set = Settings {
+                node_index: me,
+                node_count: nodes,
+                ..settings(vec![class(Idempotency::Idempotent)])
+            };
             Node::new(set, 4, u64::from(me) + 1)
         })
         .collect();
@@ -385,32 +393,32 @@
 #[test]
 fn a_restart_under_the_same_id_is_not_pushed_over() {
     for (nodes, cores) in [(1, 1), (4, 1), (60, 1), (600, 1), (1, 6), (60, 6), (600, 6)] {
-        cold_sends_stay_in_budget(nodes, cores, |since| vec![ServerEntry { since, ..entry(0) }]);
+        cold_sends_stay_in_budget(nodes, cores, |since| vec![ServerEntry { started_at: since, ..entry(0) }]);
     }
 }
 
 #[test]
 fn a_returning_zone_is_not_pushed_over() {
     for (nodes, cores) in [(1, 1), (4, 1), (60, 1), (600, 1), (1, 6), (60, 6), (600, 6)] {
-        let zone = |since| (0..3).map(|n| ServerEntry { since, ..entry(n) }).collect();
+        let zone = |since| (0..3).map(|n| ServerEntry { started_at: since, ..entry(n) }).collect();
         cold_sends_stay_in_budget(nodes, cores, zone);
     }
 }
 
-fn bound(effect: Effect, zones: Option<Vec<u16>>, kinds: Option<Vec<u16>>) -> Class {
-    Class { placement: Placement { zones, kinds }, ..class(effect) }
+fn bound(effect: Idempotency, zones: Option<Vec<u16>>, kinds: Option<Vec<u16>>) -> Class {
+    Class { placement: Placement { zones, host_types: kinds }, ..class(effect) }
 }
 
 #[test]
 fn a_bound_class_goes_only_to_its_places_at_every_attempt() {
     for (zones, kinds) in [(Some(vec![1]), None), (None, Some(vec![1])), (Some(vec![0, 2]), Some(vec![0]))] {
         let set = Settings {
-            warm_keys: true,
+            key_affinity: true,
             zone: 2,
-            ..settings(vec![bound(Effect::Safe, zones.clone(), kinds.clone())])
+            ..settings(vec![bound(Idempotency::Idempotent, zones.clone(), kinds.clone())])
         };
         let mut node = Node::new(set, 12, 5);
-        let place = Placement { zones, kinds };
+        let place = Placement { zones, host_types: kinds };
         let mut visited = std::collections::BTreeSet::new();
         for turn in 0..200u64 {
             node.pass(20 * MS);
@@ -422,7 +430,7 @@
                 visited.insert(server);
                 // All sorts of trouble, so that every fallback is taken.
                 let status =
-                    [Status::Full, Status::Error, Status::Ok, Status::ConnectFailed][turn as usize % 4];
+                    [Status::Rejected, Status::Error, Status::Ok, Status::ConnectFailed][turn as usize % 4];
                 actions = node.end(id, attempt, server, status, 10 * MS);
             }
         }
@@ -434,7 +442,8 @@
 #[test]
 fn a_bound_class_whose_servers_are_all_away_waits_or_ends_in_time() {
     for kinds in [vec![1], vec![7], vec![]] {
-        let set = settings(vec![bound(Effect::Safe, None, Some(kinds)), class(Effect::Safe)]);
+        let set =
+            settings(vec![bound(Idempotency::Idempotent, None, Some(kinds)), class(Idempotency::Idempotent)]);
         let mut node = Node::new(set, 6, 5);
         let away = (0..6).filter(|n| n % 2 == 1);
         let away = away.map(|n| ServerEntry { readiness: Readiness::Draining, ..entry(n) }).collect();
@@ -460,8 +469,8 @@
 #[test]
 fn further_attempts_of_every_sort_stay_within_the_stated_budget() {
     for status in [Status::Error, Status::ConnectFailed, Status::Reset] {
-        let budget = AttemptBudget { free: 2.0, share: 0.25, span: 5 * S };
-        let set = Settings { attempt_budget: Some(budget), ..settings(vec![class(Effect::Safe)]) };
+        let budget = RetryBudget { base: 2.0, per_request: 0.25, window: 5 * S };
+        let set = Settings { retry_budget: Some(budget), ..settings(vec![class(Idempotency::Idempotent)]) };
         let mut node = Node::new(set, 12, 4);
         let (mut taken, mut made): (Vec<Nanos>, Vec<Nanos>) = (vec![], vec![]);
         for turn in 0..600u64 {
@@ -479,8 +488,8 @@
 
 #[test]
 fn the_budget_counts_to_the_nanosecond_and_from_nothing_after_a_restart() {
-    let budget = AttemptBudget { free: 1.0, share: 0.0, span: 5 * S };
-    let set = Settings { attempt_budget: Some(budget), ..settings(vec![class(Effect::Safe)]) };
+    let budget = RetryBudget { base: 1.0, per_request: 0.0, window: 5 * S };
+    let set = Settings { retry_budget: Some(budget), ..settings(vec![class(Idempotency::Idempotent)]) };
     let start = || Node::new(set.clone(), 9, 4);
     let mut node = start();
     assert_eq!(further(&mut node, Status::ConnectFailed), 1);
@@ -509,14 +518,14 @@
         Status::Ok,
         Status::Ok,
         Status::Error,
-        Status::Full,
+        Status::Rejected,
         Status::Timeout,
         Status::ConnectFailed,
         Status::Reset,
         Status::Cancelled,
-        Status::Moot,
+        Status::NotSent,
     ]);
-    let readiness = prop::sample::select(vec![Readiness::Ready, Readiness::Draining, Readiness::Gone]);
+    let readiness = prop::sample::select(vec![Readiness::Ready, Readiness::Draining, Readiness::Removed]);
     prop_oneof![
         4 => (0usize..7, prop::sample::select(vec![0, 1, 5 * MS, 300 * MS, S])).prop_map(|(c, b)| Step::Ask(c, b)),
         1 => (0usize..7, prop::sample::select(vec![5 * MS, S])).prop_map(|(c, b)| Step::Upload(c, b)),
@@ -530,7 +539,7 @@
     ]
 }
 
-const BUDGET: AttemptBudget = AttemptBudget { free: 3.0, share: 0.2, span: 500 * MS };
+const BUDGET: RetryBudget = RetryBudget { base: 3.0, per_request: 0.2, window: 500 * MS };
 
 struct Owed {
     class: usize,
@@ -566,18 +575,18 @@
                     if !owed.sends.is_empty() {
                         self.further.push(now);
                         let within =
-                            |t: &[Nanos]| t.iter().filter(|&&t| t + BUDGET.span >= now).count() as f64;
-                        let allowed = BUDGET.free + BUDGET.share * within(&self.asked);
+                            |t: &[Nanos]| t.iter().filter(|&&t| t + BUDGET.window >= now).count() as f64;
+                        let allowed = BUDGET.base + BUDGET.per_request * within(&self.asked);
                         assert!(within(&self.further) <= allowed, "beyond the budget of attempts");
                     }
                     let ran = owed.sends.iter().find(|(.., s)| !s.is_some_and(Status::never_ran));
-                    match (class.effect, ran) {
-                        (Effect::Safe, _) | (_, None) => {}
-                        (Effect::Unsafe, Some(_)) => panic!("may have run twice"),
-                        (Effect::Keyed { group, window }, Some(&(first, at, _))) => {
+                    match (class.idempotency, ran) {
+                        (Idempotency::Idempotent, _) | (_, None) => {}
+                        (Idempotency::NonIdempotent, Some(_)) => panic!("may have run twice"),
+                        (Idempotency::Keyed { scope: group, window }, Some(&(first, at, _))) => {
                             assert!(now < at + window);
-                            assert!(group == Group::All || server % 3 == first % 3);
-                            assert!(group != Group::Cell || server % 6 == first % 6);
+                            assert!(group == DedupScope::All || server % 3 == first % 3);
+                            assert!(group != DedupScope::Cell || server % 6 == first % 6);
                         }
                     }
                     owed.sends.push((server, now, None));
@@ -589,8 +598,8 @@
                     owed.answers += 1;
                     let clean = owed.sends.iter().all(|(.., s)| s.is_some_and(Status::never_ran));
                     let free = matches!(
-                        self.classes[owed.class].effect,
-                        Effect::Safe | Effect::Keyed { group: Group::All, .. }
+                        self.classes[owed.class].idempotency,
+                        Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
                     );
                     assert!(clean || free, "refused though it may have run");
                 }
@@ -644,15 +653,15 @@
 impl Watcher {
     fn new() -> Self {
         let classes = vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(keyed(Group::All)),
-            class(keyed(Group::Zone)),
-            class(keyed(Group::Cell)),
-            bound(Effect::Safe, Some(vec![0, 2]), None),
-            bound(keyed(Group::Zone), None, Some(vec![1])),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            class(keyed(DedupScope::All)),
+            class(keyed(DedupScope::Zone)),
+            class(keyed(DedupScope::Cell)),
+            bound(Idempotency::Idempotent, Some(vec![0, 2]), None),
+            bound(keyed(DedupScope::Zone), None, Some(vec![1])),
         ];
-        let set = Settings { attempt_budget: Some(BUDGET), ..settings(classes.clone()) };
+        let set = Settings { retry_budget: Some(BUDGET), ..settings(classes.clone()) };
         let node = Node::new(set, 6, 17);
         let (ready, owed) = ((0..6).collect(), Default::default());
         Watcher { node, classes, asked: vec![], further: vec![], ready, out: Default::default(), owed }
@@ -677,7 +686,7 @@
             Step::Uploaded(n) => {
                 let open = self.open();
                 if let Some(&(id, _)) = open.get(n % open.len().max(1)) {
-                    let actions = self.node.give(Event::Uploaded(id));
+                    let actions = self.node.give(Event::BodySent(id));
                     self.take(actions);
                 }
             }
@@ -692,7 +701,7 @@
                     self.owed.iter().filter(|(_, o)| o.answers == 0).map(|(id, _)| *id).collect();
                 if let Some(&id) = live.get(n % live.len().max(1)) {
                     self.owed.get_mut(&id).expect("live").answers = 1;
-                    let actions = self.node.give(Event::Gone(id));
+                    let actions = self.node.give(Event::ClientGone(id));
                     self.take(actions);
                 }
             }
@@ -703,7 +712,7 @@
                     Readiness::Ready => self.ready.insert(n),
                     _ => self.ready.remove(&n),
                 };
-                let entries = vec![ServerEntry { readiness, since, ..entry(n) }];
+                let entries = vec![ServerEntry { readiness, started_at: since, ..entry(n) }];
                 let actions = self.node.list(ListKind::Partial, entries);
                 self.take(actions);
             }
@@ -713,7 +722,8 @@
                     false => self.out.remove(&n),
                 };
                 let since = self.node.at;
-                let actions = self.node.give(Event::Maintenance { server: ServerId(n), out, since });
+                let actions =
+                    self.node.give(Event::Maintenance { server: ServerId(n), out, ordered_at: since });
                 self.take(actions);
                 let ready = |n: &u32| self.ready.contains(n) && !self.out.contains(n);
                 assert!((0..8).all(|n| self.node.balancer.is_ready(ServerId(n)) == ready(&n)));
@@ -727,7 +737,7 @@
 
     /// Forgets what no rule looks at any more.
     fn forget(&mut self) {
-        let from = self.node.at.saturating_sub(BUDGET.span);
+        let from = self.node.at.saturating_sub(BUDGET.window);
         self.asked.retain(|&at| at >= from);
         self.further.retain(|&at| at >= from);
         self.owed.retain(|_, o| o.answers == 0 || o.sends.last().is_some_and(|s| s.2.is_none()));
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -166,7 +166,7 @@
             readiness: match entry.readiness.as_str() {
                 "Running" => Readiness::Ready,
                 "Stopping" => Readiness::Draining,
-                "Deleted" => Readiness::Gone,
+                "Deleted" => Readiness::Removed,
                 other => return Err(format!("unknown readiness {other:?}")),
             },
             weight: entry.rating,
@@ -188,12 +188,12 @@
     Ok(match need(text, "Result")?.as_ref() {
         "OK" => Status::Ok,
         "INTERNAL" => Status::Error,
-        "RESOURCE_EXHAUSTED" => Status::Full,
+        "RESOURCE_EXHAUSTED" => Status::Rejected,
         "DEADLINE_EXCEEDED" => Status::Timeout,
         "UNAVAILABLE" => Status::ConnectFailed,
         "ABORTED" => Status::Reset,
         "CANCELLED" => Status::Cancelled,
-        "TOO_LATE" => Status::Moot,
+        "TOO_LATE" => Status::NotSent,
         other => return Err(format!("unknown result {other:?}")),
     })
 }
@@ -301,13 +301,13 @@
                     class: class.ok_or_else(|| format!("unknown class {band:?}"))?,
                     tenant,
                     key: line.Item,
-                    budget: need(line.Budget, "Budget")?,
+                    client_timeout: need(line.Budget, "Budget")?,
                     cost_hint: line.CostGuess.filter(|_| line.Bits & 1 != 0),
-                    repeat: line.Bits & 2 != 0,
-                    long: false,
+                    is_retry: line.Bits & 2 != 0,
+                    streams_body: false,
                 })
             }
-            "Accepted" => Event::Begun {
+            "Accepted" => Event::ResponseStarted {
                 id: request_id(line.Req)?,
                 attempt: need(line.SendNo, "SendNo")?,
                 latency: line.Duration.unwrap_or(0),
@@ -321,9 +321,9 @@
                 terminal: line.Terminal.unwrap_or(false),
                 report: line.Report.map(|report| report.0),
             },
-            "Dropped" => Event::Gone(request_id(line.Req)?),
+            "Dropped" => Event::ClientGone(request_id(line.Req)?),
             "DeadlineHit" => Event::Timer(need(line.Tag, "Tag")?),
-            "Echo" => Event::Probed {
+            "Echo" => Event::ProbeOutcome {
                 server: at.server(line.Server)?,
                 status: status(line.Result)?,
                 latency: line.Duration.unwrap_or(0),
@@ -332,7 +332,7 @@
             "Inbox" => {
                 let bytes = line.Bytes.unwrap_or_default();
                 let bytes = BASE64_STANDARD.decode(bytes.as_bytes()).map_err(|e| format!("Bytes: {e}"))?;
-                Event::Peer { from: need(line.By, "By")?, bytes }
+                Event::PeerMessage { from: need(line.By, "By")?, bytes }
             }
             other => return Err(format!("unknown event {other:?}")),
         })
@@ -372,7 +372,7 @@
             out.msg = "Test";
             out.Server = Some(servers.name(server.0 as usize));
         }
-        Action::Tell { to, bytes } => {
+        Action::SendToPeers { to, bytes } => {
             out.msg = "Share";
             out.Whom = Some(to.map_or(-1, i64::from));
             out.Bytes = Some(BASE64_STANDARD.encode(bytes));
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -50,30 +50,30 @@
     fn class(&self, service: u32) -> Class {
         let kinds = (self.services > 1).then(|| vec![service as u16]);
         Class {
-            aim: 300 * MS,
+            target_latency: 300 * MS,
             deadline: 750 * MS,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Safe,
-            placement: Placement { zones: None, kinds },
+            value: 1.0,
+            late_value_share: 0.0,
+            idempotency: Idempotency::Idempotent,
+            placement: Placement { zones: None, host_types: kinds },
         }
     }
 
     /// What the module is told at its start.
     pub fn settings(&self) -> Settings {
         Settings {
-            me: self.nodes / 3,
-            nodes: self.nodes,
+            node_index: self.nodes / 3,
+            node_count: self.nodes,
             classes: (0..self.services).map(|service| self.class(service)).collect(),
             tenants: vec![Tenant { quota_per_s: 10.0 }; self.tenants as usize],
-            over_share_worth: 0.2,
+            over_quota_value_share: 0.2,
             max_attempts: 3,
             retry_after: true,
-            ask_within: 10 * SECOND,
-            cold_share: 0.15,
-            ramp_time: 23 * SECOND,
-            fall_multiple: 4.0,
-            tip_after: 2 * SECOND,
+            watch_interval: 10 * SECOND,
+            initial_capacity_share: 0.15,
+            slow_start_duration: 23 * SECOND,
+            overload_factor: 4.0,
+            overload_duration: 2 * SECOND,
             ..Settings::default()
         }
     }
@@ -83,7 +83,14 @@
         let tag = u64::from(server).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let kind = (server % self.services) as u16;
         let zone = (server / self.services % ZONES) as u16;
-        ServerEntry { id: ServerId(server), tag, zone, kind, weight: 1.0, ..ServerEntry::default() }
+        ServerEntry {
+            id: ServerId(server),
+            name_hash: tag,
+            zone,
+            host_type: kind,
+            weight: 1.0,
+            ..ServerEntry::default()
+        }
     }
 
     /// The whole list.
@@ -108,9 +115,9 @@
         let entry = self.entry(server);
         let (block, host) = (server / HOSTS, server % HOSTS);
         // Writing to a string cannot fail.
-        let _ = write!(text, r#"{{"name":"s-{:08x}","address":"#, entry.tag as u32);
+        let _ = write!(text, r#"{{"name":"s-{:08x}","address":"#, entry.name_hash as u32);
         let _ = write!(text, r#""10.{}.{}.{host}:8081","#, block / HOSTS, block % HOSTS);
-        let _ = write!(text, r#""zone":"zone-{}","type":"service-{}","#, entry.zone, entry.kind);
+        let _ = write!(text, r#""zone":"zone-{}","type":"service-{}","#, entry.zone, entry.host_type);
         let _ = write!(text, r#""group":{},"status":"in_service","#, server / CELL);
         text.push_str(r#""weight":1.0,"since_ms":0}"#);
     }
--- a/crates/lab/src/capacity/model.rs
+++ b/crates/lab/src/capacity/model.rs
@@ -138,10 +138,10 @@
             class: self.draw_service(),
             tenant: self.draw_tenant(),
             key: None,
-            budget: 700 * MS,
+            client_timeout: 700 * MS,
             cost_hint: None,
-            repeat: false,
-            long: false,
+            is_retry: false,
+            streams_body: false,
         };
         self.decide(Event::Request(request));
     }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -420,7 +420,7 @@
         let Some(node) = tried.node.filter(|&node| self.nodes[node].up) else { return };
         let waits = self.nodes[node].open.get(&request).is_some_and(|open| !open.answered);
         if waits && matches!(end, End::Left | End::Unanswered) {
-            self.give(node, Event::Gone(request));
+            self.give(node, Event::ClientGone(request));
             self.settle(node, request);
         }
     }
@@ -445,10 +445,10 @@
                 class: start.wish.class,
                 tenant,
                 key: Some(start.wish.key),
-                budget,
+                client_timeout: budget,
                 cost_hint: None,
-                repeat: self.day.clients.marks && start.number > 0,
-                long: false,
+                is_retry: self.day.clients.marks && start.number > 0,
+                streams_body: false,
             }),
         );
         self.settle(node, id_at_node);
@@ -468,7 +468,7 @@
                 readiness: match entry.status {
                     Status::InService => Readiness::Ready,
                     Status::Terminating => Readiness::Draining,
-                    Status::Terminated => Readiness::Gone,
+                    Status::Terminated => Readiness::Removed,
                 },
                 weight: Some(of_kind.build.cores * of_kind.build.speed),
                 since: if entry.since == 0 { 0 } else { EPOCH + entry.since },
@@ -513,7 +513,7 @@
             Action::Fail { id } => self.answer(node, id, 502, 0, false),
             Action::Timer { after, token } => self.at(self.now + after, Due::Timer(node, life, token)),
             Action::Watch => self.at(self.now, Due::Asks(node, life)),
-            Action::Probe { .. } | Action::Tell { .. } => {} // not allowed on these days
+            Action::Probe { .. } | Action::SendToPeers { .. } => {} // not allowed on these days
         }
     }
 }
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -76,7 +76,7 @@
         if own.life != life || !own.up {
             return;
         }
-        if matches!(status, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(status, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             own.idle[server] += 1;
         } else if arrived {
             self.fleet.closed(server);
@@ -141,7 +141,7 @@
     match code {
         0 => Outcome::Ok,
         1 => Outcome::Error,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         UNREACHED => Outcome::ConnectFailed,
         _ => Outcome::Reset,
     }
--- a/crates/node/src/configuration/baseline.rs
+++ b/crates/node/src/configuration/baseline.rs
@@ -1,6 +1,6 @@
 //! What the node was started with, and how a document lays over it.
 
-use merlinfold_decide::interface::{Class, ClassFigures, Figures, Nanos, Settings};
+use merlinfold_decide::interface::{Class, DynamicClassSettings, DynamicSettings, Nanos, Settings};
 use merlinfold_revision::bounds::WHOLE_SHARE;
 use merlinfold_revision::{ClassProperties, Document, Limit, Tenant, Unit};
 use merlinfold_settings::{Names, Numbering};
@@ -28,7 +28,7 @@
     class_names: Numbering,
     tenant_names: Numbering,
     classes: Vec<Class>,
-    figures: Figures,
+    figures: DynamicSettings,
     open_requests: usize,
 }
 
@@ -39,7 +39,7 @@
             class_names: names.classes.clone(),
             tenant_names: names.tenants.clone(),
             classes: settings.classes.clone(),
-            figures: settings.figures(),
+            figures: settings.dynamic_settings(),
             open_requests,
         }
     }
@@ -102,7 +102,7 @@
     }
 
     /// The module's figures under a document that was checked.
-    pub fn figures(&self, document: &Document, numbers: &TenantNumbers) -> Figures {
+    pub fn figures(&self, document: &Document, numbers: &TenantNumbers) -> DynamicSettings {
         let mut figures = self.figures.clone();
         let value = |name| document.limits.get(name).map(|limit| limit.value);
         for (name, properties) in &document.classes {
@@ -122,7 +122,7 @@
             figures.max_attempts = attempts;
         }
         if let Some(worth) = value(OVER_SHARE_WORTH) {
-            figures.over_share_worth = worth as f64 / MILLION;
+            figures.over_quota_value_share = worth as f64 / MILLION;
         }
         figures
     }
@@ -134,11 +134,11 @@
     }
 }
 
-fn class_figures(properties: &ClassProperties) -> ClassFigures {
-    ClassFigures {
-        aim: u64::from(properties.aim_ms) * MILLISECOND,
-        worth: f64::from(properties.worth) / MILLION,
-        late_worth: f64::from(properties.late_worth) / MILLION,
+fn class_figures(properties: &ClassProperties) -> DynamicClassSettings {
+    DynamicClassSettings {
+        target_latency: u64::from(properties.aim_ms) * MILLISECOND,
+        value: f64::from(properties.worth) / MILLION,
+        late_value_share: f64::from(properties.late_worth) / MILLION,
     }
 }
 
--- a/crates/node/src/configuration/change.rs
+++ b/crates/node/src/configuration/change.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use merlinfold_decide::interface::Figures;
+use merlinfold_decide::interface::DynamicSettings;
 use merlinfold_revision::Document;
 
 use super::tenants::{NamedTenant, TenantNumbers};
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Change {
     /// For the decision module.
-    pub figures: Box<Figures>,
+    pub figures: Box<DynamicSettings>,
     /// Requests that may be open at once.
     pub open_requests: usize,
     /// For the driver.
--- a/crates/node/src/discovery/retry.rs
+++ b/crates/node/src/discovery/retry.rs
@@ -33,7 +33,7 @@
     pub fn before_first(&mut self) -> Duration {
         match self {
             Retry::Pushed => Duration::ZERO,
-            Retry::Shared(backoff, rng) => Duration::from_nanos(backoff.first(rng)),
+            Retry::Shared(backoff, rng) => Duration::from_nanos(backoff.initial_wait(rng)),
         }
     }
 
@@ -43,7 +43,7 @@
             Retry::Pushed => now + PUSHED_PAUSE,
             Retry::Shared(backoff, rng) => {
                 let least = rng.u64(PAUSE.0.as_millis() as u64..=PAUSE.1.as_millis() as u64);
-                let wait = Duration::from_nanos(backoff.failed(rng));
+                let wait = Duration::from_nanos(backoff.record_failure(rng));
                 (began + wait).max(now + Duration::from_millis(least))
             }
         }
@@ -52,7 +52,7 @@
     /// A call was answered.
     pub fn answered(&mut self) {
         if let Retry::Shared(backoff, _) = self {
-            backoff.succeeded();
+            backoff.record_success();
         }
     }
 }
--- a/crates/node/src/driver/lists.rs
+++ b/crates/node/src/driver/lists.rs
@@ -17,7 +17,7 @@
             self.members.fill(false);
         }
         self.members.resize(self.servers.len(), false);
-        entries.iter().for_each(|e| self.members[e.id.0 as usize] = e.readiness != Readiness::Gone);
+        entries.iter().for_each(|e| self.members[e.id.0 as usize] = e.readiness != Readiness::Removed);
         self.listed |= kind != ListKind::Persisted || !entries.is_empty();
         let told: Vec<ServerId> = match kind {
             ListKind::Partial => entries.iter().map(|entry| entry.id).collect(),
@@ -47,7 +47,7 @@
             weight: line.weight,
             since: line.since_ms.saturating_mul(1_000_000), // the module's clock is Unix time
         });
-        entry.since = self.starts.local(entry.id.0 as usize, entry.since, now, unseen_at);
+        entry.started_at = self.starts.local(entry.id.0 as usize, entry.started_at, now, unseen_at);
         match self.servers.get_mut(entry.id.0 as usize) {
             None => {
                 self.servers.push(Arc::new(Server::new(line.address)));
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -182,11 +182,11 @@
                 // What the module has ended by itself it need not hear of.
                 let open = self.table.get_mut(&id);
                 if open.is_some_and(|open| open.end(None, &mut self.figures)) {
-                    self.handle(Event::Gone(id));
+                    self.handle(Event::ClientGone(id));
                 }
                 self.settle(id);
             }
-            Input::Uploaded(id) => self.handle(Event::Uploaded(id)),
+            Input::Uploaded(id) => self.handle(Event::BodySent(id)),
             Input::Relayed { id, end, connection } => {
                 if let Some(open) = self.table.get_mut(&id) {
                     open.relayed(end, &mut self.figures);
@@ -206,7 +206,7 @@
                 self.life.listed();
                 self.live();
             }
-            Input::Peer { from, bytes } => self.handle(Event::Peer { from, bytes }),
+            Input::Peer { from, bytes } => self.handle(Event::PeerMessage { from, bytes }),
             Input::Call { call, said } => {
                 let answer = self.call(call);
                 let _ = said.send(answer); // a caller that has left wants no answer
@@ -272,14 +272,16 @@
 
     fn carry_out(&mut self, now: Nanos, action: Action) {
         match action {
-            Action::Send { id, server, timeout, within } => self.send(now, id, server, timeout, within),
+            Action::Send { id, server, timeout, send_within: within } => {
+                self.send(now, id, server, timeout, within)
+            }
             Action::Cancel { id, attempt } => self.cancel(now, id, attempt),
             Action::Refuse { id, retry_after } => self.answer(id, Reply::Refused { retry_after }),
             Action::Fail { id } => self.answer(id, Reply::Failed),
             Action::Timer { after, token } => {
                 self.due.push(Reverse((now.saturating_add(after), Due::Timer(token))));
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeers { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(to, &bytes);
                 }
--- a/crates/node/src/driver/orders.rs
+++ b/crates/node/src/driver/orders.rs
@@ -12,7 +12,7 @@
             Call::Status => Said::NotNow("no server list yet".to_owned()),
             Call::Figures => {
                 let members = self.members.iter().filter(|member| **member).count();
-                let mut text = self.figures.text(members, self.balancer.avoided(self.clock.now()));
+                let mut text = self.figures.text(members, self.balancer.excluded_servers(self.clock.now()));
                 if let Some(fleet) = &self.fleet {
                     text.push_str(&figures::of_fleet(fleet));
                 }
@@ -155,7 +155,7 @@
         if out || back.is_some() {
             let now = self.clock.now();
             let since = back.map_or(now, |at| at.min(now)); // the other process may have had another clock
-            self.handle(Event::Maintenance { server, out, since });
+            self.handle(Event::Maintenance { server, out, ordered_at: since });
         }
     }
 
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -29,7 +29,16 @@
             self.due.push(Reverse((deadline + BACKSTOP, Due::Deadline(id))));
         }
         let budget = deadline - now;
-        self.handle(Event::Request(Request { id, class, tenant, key, budget, cost_hint, repeat, long }));
+        self.handle(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            key,
+            client_timeout: budget,
+            cost_hint,
+            is_retry: repeat,
+            streams_body: long,
+        }));
         self.settle(id);
     }
 
@@ -94,7 +103,7 @@
         let open = self.table.get_mut(&id);
         if open.is_some_and(|open| open.end(Some(Reply::Failed), &mut self.figures)) {
             warn!(id = id.0, "unanswered at its deadline");
-            self.handle(Event::Gone(id));
+            self.handle(Event::ClientGone(id));
             self.settle(id);
         }
     }
@@ -151,9 +160,9 @@
             task.abort_handle()
         });
         if task.is_none() {
-            self.tally.ended(to, Status::Moot, 0);
+            self.tally.ended(to, Status::NotSent, 0);
             // No connection is to be had on this side, which says nothing of the server.
-            let (status, terminal) = (Status::Moot, open.client.is_none());
+            let (status, terminal) = (Status::NotSent, open.client.is_none());
             let outcome =
                 Event::Outcome { id, attempt, server: to, status, latency: 0, terminal, report: None };
             self.events.push_back(outcome);
--- a/crates/node/src/driver/tally.rs
+++ b/crates/node/src/driver/tally.rs
@@ -32,7 +32,7 @@
         self.endings[status as usize] += 1;
         match status {
             Status::Ok => self.slowest = self.slowest.max(latency),
-            Status::Cancelled | Status::Moot => {}
+            Status::Cancelled | Status::NotSent => {}
             _ => *self.bad.entry(server).or_default() += 1,
         }
     }
@@ -58,12 +58,12 @@
             ok = of(Status::Ok),
             slowest_ms = slowest / 1_000_000,
             error = of(Status::Error),
-            full = of(Status::Full),
+            full = of(Status::Rejected),
             timeout = of(Status::Timeout),
             unconnected = of(Status::ConnectFailed),
             reset = of(Status::Reset),
             cancelled = of(Status::Cancelled),
-            moot = of(Status::Moot),
+            moot = of(Status::NotSent),
             bad_servers = bad.len(),
             worst = worst.unwrap_or_default(),
             "attempts"
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -147,15 +147,15 @@
         let peers = match config.peer_listen {
             Some(at) => {
                 let socket = receive(at).map_err(cannot("peer_listen", at))?;
-                Some(peers::Peers::new(socket, config.peers, config.peers_all, settings.me))
+                Some(peers::Peers::new(socket, config.peers, config.peers_all, settings.node_index))
             }
             None => None,
         };
-        let asks = settings.discovery == Discovery::Ask;
+        let asks = settings.discovery == Discovery::Watch;
         let (moves, address) = watch::channel(config.discovery);
         let known = config.known.as_ref().filter(|list| list.snapshot).map(|list| list.index);
         let retry = match settings.discovery {
-            Discovery::Ask => discovery::Retry::shared(settings.ask_within, seed),
+            Discovery::Watch => discovery::Retry::shared(settings.watch_interval, seed),
             Discovery::Push => discovery::Retry::Pushed,
         };
         let discovery = discovery::Watcher::new(address, sender.clone(), retry, known);
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -66,7 +66,7 @@
         match state {
             State::InService => Readiness::Ready,
             State::Terminating => Readiness::Draining,
-            State::Terminated => Readiness::Gone,
+            State::Terminated => Readiness::Removed,
         }
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -8,7 +8,7 @@
 use tracing::debug;
 
 use crate::input::Input;
-use merlinfold_decide::interface::MESSAGE_MOST;
+use merlinfold_decide::interface::MAX_MESSAGE_BYTES;
 
 /// The node's socket and the addresses of the others, in the order of their numbers.
 #[derive(Clone)]
@@ -43,7 +43,7 @@
 
     /// Hands on what comes from a peer; drops what is too long or from anybody else.
     pub async fn receive(self, inputs: UnboundedSender<Input>) {
-        let mut buffer = [0; MESSAGE_MOST + 1];
+        let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
             let (length, at) = match self.socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
@@ -55,7 +55,7 @@
                 }
             };
             let from = self.addresses.iter().position(|&peer| peer == at);
-            if let Some(from) = from.filter(|_| length <= MESSAGE_MOST) {
+            if let Some(from) = from.filter(|_| length <= MAX_MESSAGE_BYTES) {
                 let input = Input::Peer { from: from as u32, bytes: buffer[..length].to_vec() };
                 if inputs.send(input).is_err() {
                     return;
@@ -83,12 +83,12 @@
         let (stranger, _) = socket().await;
         let peers = Peers::new(own, vec![own_at, peer_at], None, 0);
         stranger.send_to(b"stranger", own_at).await.unwrap();
-        peer.send_to(&[0; MESSAGE_MOST + 1], own_at).await.unwrap();
-        peer.send_to(&[7; MESSAGE_MOST], own_at).await.unwrap();
+        peer.send_to(&[0; MAX_MESSAGE_BYTES + 1], own_at).await.unwrap();
+        peer.send_to(&[7; MAX_MESSAGE_BYTES], own_at).await.unwrap();
         let (sender, mut inputs) = mpsc::unbounded_channel();
         let task = tokio::spawn(peers.clone().receive(sender));
         let Some(Input::Peer { from, bytes }) = inputs.recv().await else { panic!("a message") };
-        assert_eq!((from, bytes), (1, vec![7; MESSAGE_MOST]));
+        assert_eq!((from, bytes), (1, vec![7; MAX_MESSAGE_BYTES]));
         task.abort();
     }
 
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -135,7 +135,7 @@
         let mut opening: Opening = Box::pin(Connection::open(self.server.address, slot));
         let status = tokio::select! {
             biased;
-            () = self.request.over.cancelled() => Status::Moot,
+            () = self.request.over.cancelled() => Status::NotSent,
             opened = timeout(within, &mut opening) => match opened {
                 Ok(Ok(connection)) => return Ok(connection),
                 Ok(Err(_)) => return Err(Status::ConnectFailed.into()),
@@ -149,10 +149,10 @@
     async fn exchange(&self, connection: Connection) -> Result<Ended, Connection> {
         let now = self.clock.now();
         if !self.server.takes_sends(now) {
-            return Ok(Status::Moot.into());
+            return Ok(Status::NotSent.into());
         }
         if self.request.over.is_cancelled() || now >= self.begin_by {
-            return Ok(Ended { connection: Some(connection), ..Status::Moot.into() });
+            return Ok(Ended { connection: Some(connection), ..Status::NotSent.into() });
         }
         if let Some(upload) = self.request.upload() {
             let wait = self.patience.min(self.deadline.saturating_sub(self.started));
@@ -195,7 +195,7 @@
                 }
                 // Before its last byte is written no server starts on it; who stopped sending is no server's fault.
                 None => Ok(match upload {
-                    Some(upload) if upload.is_stalled() => Status::Moot,
+                    Some(upload) if upload.is_stalled() => Status::NotSent,
                     Some(upload) if upload.over().is_none() => Status::ConnectFailed,
                     _ => Status::Reset,
                 }
@@ -210,7 +210,7 @@
         let turned_away = head.headers.get("x-turned-away").is_some_and(|value| value == "1");
         let status = match head.status {
             StatusCode::OK => Status::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Status::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Status::Rejected,
             _ => Status::Error,
         };
         let came = Instant::now();
--- a/crates/node/tests/unit/configuration.rs
+++ b/crates/node/tests/unit/configuration.rs
@@ -54,17 +54,24 @@
     let prepared = active.prepare(id(1, 1), &document().encode()).unwrap();
     let change = prepared.change();
     assert_eq!(change.open_requests, 50);
-    assert_eq!((change.figures.max_attempts, change.figures.over_share_worth), (2, started.over_share_worth));
+    assert_eq!(
+        (change.figures.max_attempts, change.figures.over_quota_value_share),
+        (2, started.over_quota_value_share)
+    );
     let class = change.figures.classes[0];
-    assert_eq!((class.aim, class.worth, class.late_worth), (250_000_000, 0.5, 0.1));
-    assert_eq!(change.figures.classes[1], started.figures().classes[1], "not named, so as at the start");
+    assert_eq!((class.target_latency, class.value, class.late_value_share), (250_000_000, 0.5, 0.1));
+    assert_eq!(
+        change.figures.classes[1],
+        started.dynamic_settings().classes[1],
+        "not named, so as at the start"
+    );
     let quotas: Vec<f64> = change.figures.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
     assert_eq!(quotas, [7.0, 5.0]);
     active.commit(prepared);
     assert_eq!(active.id(), id(1, 1));
 
     let emptied = active.prepare(id(1, 2), &Document::default().encode()).unwrap().change();
-    assert_eq!(*emptied.figures.classes, started.figures().classes);
+    assert_eq!(*emptied.figures.classes, started.dynamic_settings().classes);
     assert_eq!((emptied.figures.max_attempts, emptied.open_requests), (3, 100));
 }
 
--- a/crates/node/tests/unit/driver.rs
+++ b/crates/node/tests/unit/driver.rs
@@ -35,10 +35,10 @@
     let at = "127.0.0.1:1".parse().unwrap();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let now = driver.clock.now();
-    let since = driver.entry(&list("s", at, unix - 2_000).endpoints[0], now, None).since;
+    let since = driver.entry(&list("s", at, unix - 2_000).endpoints[0], now, None).started_at;
     let age = driver.clock.now() - since;
     assert!((1_999_000_000..60_000_000_000).contains(&age), "{age} ns old instead of 2 s");
-    assert_eq!(driver.entry(&list("s", at, 0).endpoints[0], now, None).since, 0);
+    assert_eq!(driver.entry(&list("s", at, 0).endpoints[0], now, None).started_at, 0);
 }
 
 /// Guards drains: a request is decided on with the list that came in with it, though read before it.
--- a/crates/node/tests/unit/front.rs
+++ b/crates/node/tests/unit/front.rs
@@ -1,7 +1,7 @@
 use super::connection::MAX_HEAD;
 use super::*;
 use crate::lifecycle::Life;
-use merlinfold_decide::interface::{Class, Effect, Placement};
+use merlinfold_decide::interface::{Class, Idempotency, Placement};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// What a peer gets that sends this and then nothing more, and after which time the connection ends.
@@ -10,11 +10,11 @@
     let mut names = Names::default();
     names.classes.number("read");
     let class = Class {
-        aim: 4_000_000_000,
+        target_latency: 4_000_000_000,
         deadline: 5_000_000_000,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
+        value: 1.0,
+        late_value_share: 0.0,
+        idempotency: Idempotency::Idempotent,
         placement: Placement::default(),
     };
     let settings = Settings { classes: vec![class], ..Settings::default() };
--- a/crates/node/tests/unit/upstream.rs
+++ b/crates/node/tests/unit/upstream.rs
@@ -56,7 +56,7 @@
             over.cancel();
         }
         let ended = running.await.unwrap();
-        assert_eq!(ended.status, if leaves { Status::Moot } else { Status::ConnectFailed });
+        assert_eq!(ended.status, if leaves { Status::NotSent } else { Status::ConnectFailed });
         let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
         pool.await_late(ended.opening.expect("it goes on"), move |connection| drop(tell.send(connection)));
         listener.accept().await.unwrap(); // the filler: now there is room
@@ -82,7 +82,7 @@
     server.set_ready(false, clock.now(), 0);
     let slot = Slots::new(1).try_take(1).unwrap();
     let run = attempt(server, clock);
-    assert_eq!(run.run(Way::Connect(slot)).await.status, Status::Moot);
+    assert_eq!(run.run(Way::Connect(slot)).await.status, Status::NotSent);
     let (mut stream, _) = listener.accept().await.unwrap();
     let read = tokio::io::AsyncReadExt::read(&mut stream, &mut [0; 1]).await.unwrap();
     assert_eq!(read, 0, "something was written");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -135,28 +135,28 @@
         for category in &self.categories {
             names.classes.number(&category.name);
             let effect = match category.semantics.as_deref() {
-                Some("repeatable") => Effect::Safe,
-                Some("by_key") => Effect::Keyed {
-                    group: match category.group.as_deref() {
-                        Some("all") => Group::All,
-                        Some("zone") => Group::Zone,
-                        Some("cell") => Group::Cell,
+                Some("repeatable") => Idempotency::Idempotent,
+                Some("by_key") => Idempotency::Keyed {
+                    scope: match category.group.as_deref() {
+                        Some("all") => DedupScope::All,
+                        Some("zone") => DedupScope::Zone,
+                        Some("cell") => DedupScope::Cell,
                         other => return Err(format!("unknown group {other:?} of class {}", category.name)),
                     },
                     window: category.key_ttl.unwrap_or(0),
                 },
-                Some("once") | None => Effect::Unsafe,
+                Some("once") | None => Idempotency::NonIdempotent,
                 Some(other) => return Err(format!("unknown semantics {other:?}")),
             };
             classes.push(Class {
-                aim: category.aim,
+                target_latency: category.aim,
                 deadline: category.give_up,
-                worth: category.worth.unwrap_or(1.0),
-                late_worth: category.late_value.unwrap_or(0.0),
-                effect,
+                value: category.worth.unwrap_or(1.0),
+                late_value_share: category.late_value.unwrap_or(0.0),
+                idempotency: effect,
                 placement: Placement {
                     zones: names.zones.list(&category.zones_allowed),
-                    kinds: names.kinds.list(&category.runs_on),
+                    host_types: names.kinds.list(&category.runs_on),
                 },
             });
         }
@@ -168,39 +168,39 @@
         let stated = &self.obligations;
         let attempt_budget = match (stated.budget_free, stated.extra_share) {
             (None, None) => None,
-            (free, share) => Some(AttemptBudget {
-                free: free.unwrap_or(0.0),
-                share: share.unwrap_or(0.0),
-                span: need(stated.budget_span, "BudgetSpan")?,
+            (free, share) => Some(RetryBudget {
+                base: free.unwrap_or(0.0),
+                per_request: share.unwrap_or(0.0),
+                window: need(stated.budget_span, "BudgetSpan")?,
             }),
         };
         Ok(Settings {
-            me: self.me,
-            nodes: self.balancers.max(1),
+            node_index: self.me,
+            node_count: self.balancers.max(1),
             classes,
             tenants,
             zone: names.zones.number(self.locality.as_deref().unwrap_or("")) as u16,
-            over_share_worth: self.over_share_worth.unwrap_or(1.0),
+            over_quota_value_share: self.over_share_worth.unwrap_or(1.0),
             discovery: match self.discovery.as_deref() {
-                Some("ask") => Discovery::Ask,
+                Some("ask") => Discovery::Watch,
                 _ => Discovery::Push,
             },
             weighted: matches!(self.weight_source.as_deref(), Some("nominal" | "rough")),
-            warm_keys: self.family_info.warm_keys,
+            key_affinity: self.family_info.warm_keys,
             cross_zone_price: self.prices.cross_zone,
             max_attempts: self.limits.max_attempts.unwrap_or(1),
-            attempt_budget,
-            may_duplicate: self.limits.may_duplicate,
+            retry_budget: attempt_budget,
+            may_hedge: self.limits.may_duplicate,
             may_cancel: self.limits.cancelling,
             may_probe: self.limits.probes,
-            may_tell: self.limits.may_tell,
+            may_message_peers: self.limits.may_tell,
             retry_after: self.limits.retry_after,
             max_retry_after: self.limits.max_retry_after,
-            ask_within: stated.ask_within.unwrap_or(10_000_000_000),
-            cold_share: stated.cold_share.unwrap_or(1.0),
-            ramp_time: stated.ramp_time,
-            fall_multiple: stated.fall_multiple.unwrap_or(1.0),
-            tip_after: stated.tip_after,
+            watch_interval: stated.ask_within.unwrap_or(10_000_000_000),
+            initial_capacity_share: stated.cold_share.unwrap_or(1.0),
+            slow_start_duration: stated.ramp_time,
+            overload_factor: stated.fall_multiple.unwrap_or(1.0),
+            overload_duration: stated.tip_after,
         })
     }
 
@@ -306,13 +306,13 @@
         hasher.write(listed.name.as_bytes());
         ServerEntry {
             id: ServerId(self.servers.number(listed.name) as u32),
-            tag: hasher.finish(),
+            name_hash: hasher.finish(),
             zone: self.zones.number(listed.zone.unwrap_or("")) as u16,
-            kind: self.kinds.number(listed.kind.unwrap_or("")) as u16,
+            host_type: self.kinds.number(listed.kind.unwrap_or("")) as u16,
             cell: listed.cell.unwrap_or(0),
             readiness: listed.readiness,
             weight: listed.weight.unwrap_or(1.0),
-            since: listed.since,
+            started_at: listed.since,
         }
     }
 }
@@ -325,7 +325,7 @@
         "util" => report.utilization = Some(value),
         "qps" => report.qps = Some(value),
         "eps" => report.eps = Some(value),
-        "latency_ms" => report.latency = Some((value * 1e6) as Nanos),
+        "latency_ms" => report.service_time = Some((value * 1e6) as Nanos),
         _ => {}
     }
 }
