--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -136,28 +136,28 @@
         for category in &self.categories {
             names.classes.intern(&category.name);
             let effect = match category.semantics.as_deref() {
-                Some("repeatable") => Effect::Safe,
-                Some("by_key") => Effect::Keyed {
-                    group: match category.group.as_deref() {
-                        Some("all") => Group::All,
-                        Some("zone") => Group::Zone,
-                        Some("cell") => Group::Cell,
+                Some("repeatable") => Idempotency::Idempotent,
+                Some("by_key") => Idempotency::Keyed {
+                    scope: match category.group.as_deref() {
+                        Some("all") => DedupScope::All,
+                        Some("zone") => DedupScope::Zone,
+                        Some("cell") => DedupScope::Cell,
                         other => return Err(format!("unknown group {other:?} of class {}", category.name)),
                     },
                     window: category.key_ttl.unwrap_or(0),
                 },
-                Some("once") | None => Effect::Unsafe,
+                Some("once") | None => Idempotency::NonIdempotent,
                 Some(other) => return Err(format!("unknown semantics {other:?}")),
             };
             classes.push(Class {
-                aim: category.aim,
+                target_latency: category.aim,
                 deadline: category.give_up,
-                worth: category.worth.unwrap_or(1.0),
-                late_worth: category.late_value.unwrap_or(0.0),
-                effect,
+                value: category.worth.unwrap_or(1.0),
+                late_value_share: category.late_value.unwrap_or(0.0),
+                idempotency: effect,
                 placement: Placement {
                     zones: names.zones.intern_all(&category.zones_allowed),
-                    kinds: names.host_types.intern_all(&category.runs_on),
+                    host_types: names.host_types.intern_all(&category.runs_on),
                 },
             });
         }
@@ -169,39 +169,39 @@
         let stated = &self.obligations;
         let attempt_budget = match (stated.budget_free, stated.extra_share) {
             (None, None) => None,
-            (free, share) => Some(AttemptBudget {
-                free: free.unwrap_or(0.0),
-                share: share.unwrap_or(0.0),
-                span: require_field(stated.budget_span, "BudgetSpan")?,
+            (free, share) => Some(RetryBudget {
+                base: free.unwrap_or(0.0),
+                per_request: share.unwrap_or(0.0),
+                window: require_field(stated.budget_span, "BudgetSpan")?,
             }),
         };
         Ok(Settings {
-            me: self.me,
-            nodes: self.balancers.max(1),
+            node_index: self.me,
+            node_count: self.balancers.max(1),
             classes,
             tenants,
             zone: names.zones.intern(self.locality.as_deref().unwrap_or("")) as u16,
-            over_share_worth: self.over_share_worth.unwrap_or(1.0),
+            over_quota_value_share: self.over_share_worth.unwrap_or(1.0),
             discovery: match self.discovery.as_deref() {
-                Some("ask") => Discovery::Ask,
+                Some("ask") => Discovery::Watch,
                 _ => Discovery::Push,
             },
             weighted: matches!(self.weight_source.as_deref(), Some("nominal" | "rough")),
-            warm_keys: self.family_info.warm_keys,
+            key_affinity: self.family_info.warm_keys,
             cross_zone_price: self.prices.cross_zone,
             max_attempts: self.limits.max_attempts.unwrap_or(1),
-            attempt_budget,
-            may_duplicate: self.limits.may_duplicate,
+            retry_budget: attempt_budget,
+            may_hedge: self.limits.may_duplicate,
             may_cancel: self.limits.cancelling,
             may_probe: self.limits.probes,
-            may_tell: self.limits.may_tell,
+            may_message_peers: self.limits.may_tell,
             retry_after: self.limits.retry_after,
             max_retry_after: self.limits.max_retry_after,
-            ask_within: stated.ask_within.unwrap_or(10_000_000_000),
-            cold_share: stated.cold_share.unwrap_or(1.0),
-            ramp_time: stated.ramp_time,
-            fall_multiple: stated.fall_multiple.unwrap_or(1.0),
-            tip_after: stated.tip_after,
+            watch_interval: stated.ask_within.unwrap_or(10_000_000_000),
+            initial_capacity_share: stated.cold_share.unwrap_or(1.0),
+            slow_start_duration: stated.ramp_time,
+            overload_factor: stated.fall_multiple.unwrap_or(1.0),
+            overload_duration: stated.tip_after,
         })
     }
 
@@ -307,13 +307,13 @@
         hasher.write(listed.name.as_bytes());
         ServerEntry {
             id: ServerId(self.servers.intern(listed.name) as u32),
-            tag: hasher.finish(),
+            name_hash: hasher.finish(),
             zone: self.zones.intern(listed.zone.unwrap_or("")) as u16,
-            kind: self.host_types.intern(listed.host_type.unwrap_or("")) as u16,
+            host_type: self.host_types.intern(listed.host_type.unwrap_or("")) as u16,
             cell: listed.cell.unwrap_or(0),
             readiness: listed.readiness,
             weight: listed.weight.unwrap_or(1.0),
-            since: listed.started_at,
+            started_at: listed.started_at,
         }
     }
 }
@@ -326,7 +326,7 @@
         "util" => report.utilization = Some(value),
         "qps" => report.qps = Some(value),
         "eps" => report.eps = Some(value),
-        "latency_ms" => report.latency = Some((value * 1e6) as Nanos),
+        "latency_ms" => report.service_time = Some((value * 1e6) as Nanos),
         _ => {}
     }
 }
