--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -7,19 +7,19 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// Callers of the console at once.
-pub const MAX_CONSOLE_CALLERS: usize = 16;
-const CLIENTS_PART: usize = 3; // one descriptor in so many may be held by clients
-const BODIES_PART: usize = 4; // one byte of memory in so many may be held as bodies
-const BESIDE: usize = 16; // what a successor opens before there is room: log, state, discovery, a caller
+pub const MAX_CONSOLE_CONNECTIONS: usize = 16;
+const CLIENT_DESCRIPTORS_DIVISOR: usize = 3; // one descriptor in so many may be held by clients
+const BODY_MEMORY_DIVISOR: usize = 4; // one byte of memory in so many may be held as bodies
+const SUCCESSOR_STARTUP_DESCRIPTORS: usize = 16; // what a successor opens before there is room: log, state, discovery, a caller
 const MIN_SERVER_CONNECTIONS: usize = 4; // connections without which a node serves nothing
 /// Descriptors beside those of clients and servers: listeners, peers, discovery, runtime, log, callers.
-pub const OTHERS: usize = 16 + MAX_CONSOLE_CALLERS;
+pub const RESERVED_DESCRIPTORS: usize = 16 + MAX_CONSOLE_CONNECTIONS;
 /// Bytes in one unit of the capacity for bodies.
-pub const UNIT: usize = 1 << 10;
+pub const BODY_UNIT_BYTES: usize = 1 << 10;
 
 /// How much of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
+pub struct Allocation {
     /// Connections of clients.
     pub clients: usize,
     /// Connections to servers.
@@ -28,23 +28,25 @@
     pub bodies: usize,
 }
 
-impl Shares {
+impl Allocation {
     /// Of so many descriptors and bytes of memory, alone or beside another process.
-    pub fn of(sockets: usize, memory: usize, beside: bool) -> Self {
-        let clients = sockets / CLIENTS_PART;
-        let left = sockets.saturating_sub(clients + OTHERS);
-        let servers = left.saturating_sub(BESIDE).min(sockets.saturating_sub(OTHERS) / 2);
-        let alone = Shares {
+    pub fn new(sockets: usize, memory: usize, beside: bool) -> Self {
+        let clients = sockets / CLIENT_DESCRIPTORS_DIVISOR;
+        let left = sockets.saturating_sub(clients + RESERVED_DESCRIPTORS);
+        let servers = left
+            .saturating_sub(SUCCESSOR_STARTUP_DESCRIPTORS)
+            .min(sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2);
+        let alone = Allocation {
             clients,
             servers: servers.max(MIN_SERVER_CONNECTIONS),
-            bodies: (memory / BODIES_PART / UNIT).min(Semaphore::MAX_PERMITS),
+            bodies: (memory / BODY_MEMORY_DIVISOR / BODY_UNIT_BYTES).min(Semaphore::MAX_PERMITS),
         };
         if !beside {
             return alone;
         }
-        let Shares { clients, servers, bodies } = alone;
-        let half = |all: usize| all.saturating_sub(OTHERS) / 2;
-        Shares {
+        let Allocation { clients, servers, bodies } = alone;
+        let half = |all: usize| all.saturating_sub(RESERVED_DESCRIPTORS) / 2;
+        Allocation {
             clients: clients / 2,
             // Its own listeners and callers come out of the servers' part.
             servers: half(servers).max(MIN_SERVER_CONNECTIONS),
@@ -53,17 +55,20 @@
     }
 
     /// What is left of all this beside a process that keeps so much.
-    fn beside(self, kept: Shares) -> Self {
-        Shares {
+    fn remaining_beside(self, kept: Allocation) -> Self {
+        Allocation {
             clients: self.clients.saturating_sub(kept.clients),
-            servers: self.servers.saturating_sub(kept.servers + OTHERS).max(MIN_SERVER_CONNECTIONS),
+            servers: self
+                .servers
+                .saturating_sub(kept.servers + RESERVED_DESCRIPTORS)
+                .max(MIN_SERVER_CONNECTIONS),
             bodies: self.bodies.saturating_sub(kept.bodies),
         }
     }
 
     /// The lesser of each.
-    fn min(self, other: Shares) -> Self {
-        Shares {
+    fn min(self, other: Allocation) -> Self {
+        Allocation {
             clients: self.clients.min(other.clients),
             servers: self.servers.min(other.servers),
             bodies: self.bodies.min(other.bodies),
@@ -75,7 +80,7 @@
 #[derive(Debug)]
 pub struct Slots {
     free: Arc<Semaphore>,
-    most: AtomicUsize,
+    total: AtomicUsize,
     target: AtomicUsize,
 }
 
@@ -84,18 +89,18 @@
     pub fn new(most: usize) -> Arc<Self> {
         Arc::new(Slots {
             free: Arc::new(Semaphore::new(most)),
-            most: AtomicUsize::new(most),
+            total: AtomicUsize::new(most),
             target: AtomicUsize::new(most),
         })
     }
 
     /// Waits for one, in the order of asking.
-    pub async fn take(&self) -> OwnedSemaphorePermit {
+    pub async fn acquire(&self) -> OwnedSemaphorePermit {
         self.free.clone().acquire_owned().await.expect("it is never closed")
     }
 
     /// So many at once, if they are free.
-    pub fn try_take(&self, count: u32) -> Option<OwnedSemaphorePermit> {
+    pub fn try_acquire(&self, count: u32) -> Option<OwnedSemaphorePermit> {
         self.free.clone().try_acquire_many_owned(count).ok()
     }
 
@@ -105,32 +110,32 @@
     }
 
     /// All that there are now, free or held.
-    pub fn most(&self) -> usize {
-        self.most.load(Ordering::Relaxed)
+    pub fn total(&self) -> usize {
+        self.total.load(Ordering::Relaxed)
     }
 
     /// Those that are held.
-    pub fn held(&self) -> usize {
-        self.most().saturating_sub(self.free())
+    pub fn in_use(&self) -> usize {
+        self.total().saturating_sub(self.free())
     }
 
     /// From now on there are to be so many. Of too many those that are held go as they are given back: see
     /// [`Slots::settle`].
     pub fn resize(&self, target: usize) {
         self.target.store(target, Ordering::Relaxed);
-        let most = self.most();
+        let most = self.total();
         if target > most {
             self.free.add_permits(target - most);
-            self.most.store(target, Ordering::Relaxed);
+            self.total.store(target, Ordering::Relaxed);
         }
-        self.settle();
+        self.reclaim();
     }
 
     /// Takes away what is free of too many. Whether there are no more than there should be.
-    pub fn settle(&self) -> bool {
-        let (most, target) = (self.most(), self.target.load(Ordering::Relaxed));
+    pub fn reclaim(&self) -> bool {
+        let (most, target) = (self.total(), self.target.load(Ordering::Relaxed));
         let most = most - self.free.forget_permits(most.saturating_sub(target));
-        self.most.store(most, Ordering::Relaxed);
+        self.total.store(most, Ordering::Relaxed);
         most <= target
     }
 }
@@ -151,7 +156,7 @@
 impl Capacity {
     /// Of so many descriptors and bytes of memory.
     pub fn new(sockets: usize, memory: usize, beside: bool) -> Self {
-        let Shares { clients, servers, bodies } = Shares::of(sockets, memory, beside);
+        let Allocation { clients, servers, bodies } = Allocation::new(sockets, memory, beside);
         Capacity {
             clients: Slots::new(clients),
             servers: Slots::new(servers),
@@ -163,25 +168,25 @@
 
     /// Halves it for another process, or takes it back.
     pub fn resize(&self, beside: bool) {
-        self.set(Shares::of(self.sockets, self.memory, beside));
+        self.set(Allocation::new(self.sockets, self.memory, beside));
     }
 
     /// Takes what the process that came first does not keep, up to a half. Whether that is the half.
-    pub fn fit(&self, kept: Shares) -> bool {
-        let half = Shares::of(self.sockets, self.memory, true);
-        let shares = Shares::of(self.sockets, self.memory, false).beside(kept).min(half);
+    pub fn fit_beside(&self, kept: Allocation) -> bool {
+        let half = Allocation::new(self.sockets, self.memory, true);
+        let shares = Allocation::new(self.sockets, self.memory, false).remaining_beside(kept).min(half);
         self.set(shares);
         shares == half
     }
 
     /// What this process keeps for as long as it is held.
-    pub fn kept(&self) -> Shares {
+    pub fn allocation(&self) -> Allocation {
         let [clients, servers, bodies] =
-            [&self.clients, &self.servers, &self.bodies].map(|slots| slots.most());
-        Shares { clients, servers, bodies }
+            [&self.clients, &self.servers, &self.bodies].map(|slots| slots.total());
+        Allocation { clients, servers, bodies }
     }
 
-    fn set(&self, Shares { clients, servers, bodies }: Shares) {
+    fn set(&self, Allocation { clients, servers, bodies }: Allocation) {
         self.clients.resize(clients);
         self.servers.resize(servers);
         self.bodies.resize(bodies);
@@ -189,7 +194,7 @@
 
     /// Whether no more is held than there should be. Bodies end by themselves, soon: nobody waits for them.
     pub fn settle(&self) -> bool {
-        let settled = [&self.clients, &self.servers, &self.bodies].map(|slots| slots.settle());
+        let settled = [&self.clients, &self.servers, &self.bodies].map(|slots| slots.reclaim());
         settled[0] && settled[1]
     }
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -9,20 +9,20 @@
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: Nanos,
+    start_unix: Nanos,
 }
 
 impl Clock {
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_nanos() as Nanos }
+        Clock { start: Instant::now(), start_unix: unix.as_nanos() as Nanos }
     }
 
     pub fn now(&self) -> Nanos {
-        self.unix + self.start.elapsed().as_nanos() as Nanos
+        self.start_unix + self.start.elapsed().as_nanos() as Nanos
     }
 
     pub fn instant(&self, at: Nanos) -> Instant {
-        self.start + Duration::from_nanos(at.saturating_sub(self.unix))
+        self.start + Duration::from_nanos(at.saturating_sub(self.start_unix))
     }
 }
--- a/crates/node/src/console/mod.rs
+++ b/crates/node/src/console/mod.rs
@@ -25,9 +25,9 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::{info, warn};
 
-use crate::capacity::MAX_CONSOLE_CALLERS;
-use crate::input::{Call, Input, Said};
-use crate::stream::Shared;
+use crate::capacity::MAX_CONSOLE_CONNECTIONS;
+use crate::input::{ConsoleCommand, ConsoleReply, Input};
+use crate::stream::SharedStream;
 use merlinfold_fleet::LogHandle;
 
 pub use configuration::ConfigurationCalls;
@@ -58,13 +58,13 @@
 pub async fn serve(listener: TcpListener, inputs: UnboundedSender<Input>, fleet: FleetCalls) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::new();
     let mut faults = Faults::default();
-    let (tell, mut told) = tokio::sync::mpsc::channel(MAX_CONSOLE_CALLERS);
+    let (tell, mut told) = tokio::sync::mpsc::channel(MAX_CONSOLE_CONNECTIONS);
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
                     callers.retain(|caller| !caller.is_finished());
-                    if callers.len() >= MAX_CONSOLE_CALLERS {
+                    if callers.len() >= MAX_CONSOLE_CONNECTIONS {
                         // Those who sit there keep nobody out.
                         callers.pop_front().into_iter().for_each(|oldest| oldest.abort());
                     }
@@ -120,7 +120,7 @@
         .keep_alive(false)
         .header_read_timeout(CALL_TIMEOUT)
         .max_buf_size(8 << 10)
-        .serve_connection(TokioIo::new(Shared::new(stream)), service);
+        .serve_connection(TokioIo::new(SharedStream::new(stream)), service);
     // Who calls and how it ends for them is their business; the limit covers a caller who never reads.
     let _ = timeout(CALL_TIMEOUT + AGREED_TIMEOUT, connection).await;
 }
@@ -186,24 +186,24 @@
         return configuration::answer(path, head.method, body, fleet.configuration).await;
     }
     let call = match path {
-        "/status" => Call::Status,
-        "/status/metrics" => Call::Figures,
-        "/fleet/members" => Call::Members,
-        "/standby" => Call::Standby(true),
-        "/active" => Call::Standby(false),
-        _ => Call::Maintenance { member: member(path, body).await?, out: path.ends_with("/enter") },
+        "/status" => ConsoleCommand::Status,
+        "/status/metrics" => ConsoleCommand::Metrics,
+        "/fleet/members" => ConsoleCommand::Members,
+        "/standby" => ConsoleCommand::Standby(true),
+        "/active" => ConsoleCommand::Standby(false),
+        _ => ConsoleCommand::Maintenance { member: member(path, body).await?, out: path.ends_with("/enter") },
     };
     if head.method == Method::POST {
         info!(?call, "console");
     }
     let (said, answer) = oneshot::channel();
     let gone = || Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "the node ends");
-    inputs.send(Input::Call { call, said }).map_err(|_| gone())?;
+    inputs.send(Input::Console { command: call, reply: said }).map_err(|_| gone())?;
     match answer.await.map_err(|_| gone())? {
-        Said::Yes(words) => Ok(text(StatusCode::OK, words)),
-        Said::NotNow(why) => Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why)),
-        Said::Conflict(why) => Err(Refusal::new(StatusCode::CONFLICT, why)),
-        Said::Unknown(why) => Err(Refusal::new(StatusCode::NOT_FOUND, why)),
+        ConsoleReply::Ok(words) => Ok(text(StatusCode::OK, words)),
+        ConsoleReply::Unavailable(why) => Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, why)),
+        ConsoleReply::Conflict(why) => Err(Refusal::new(StatusCode::CONFLICT, why)),
+        ConsoleReply::NotFound(why) => Err(Refusal::new(StatusCode::NOT_FOUND, why)),
     }
 }
 
--- a/crates/node/src/discovery/connection.rs
+++ b/crates/node/src/discovery/connection.rs
@@ -14,7 +14,7 @@
 
 use super::Query;
 use crate::list::List;
-use crate::stream::Shared;
+use crate::stream::SharedStream;
 
 const LIST_MOST: usize = 8 << 20; // bytes
 
@@ -74,7 +74,7 @@
         let stream = TcpStream::connect(to).await.map_err(Fault::Unreachable)?;
         stream.set_nodelay(true).map_err(Fault::Unreachable)?;
         let (sender, connection) =
-            http1::handshake(TokioIo::new(Shared::new(stream))).await.map_err(Fault::Ended)?;
+            http1::handshake(TokioIo::new(SharedStream::new(stream))).await.map_err(Fault::Ended)?;
         let task = tokio::spawn(connection).abort_handle();
         Ok(Connection { sender, task })
     }
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -10,18 +10,20 @@
 use tokio::time::timeout_at;
 use tracing::{debug, info, warn};
 
-use crate::body::Budget;
+use crate::body::BufferBudget;
 use crate::capacity::Capacity;
 use crate::clock::Clock;
 use crate::configuration::{Change, InForce};
-use crate::figures::{self, End, Figures, Totals};
 use crate::handover::{Orders, Shared};
-use crate::input::{Arrival, Call, Input, Reply, Said};
+use crate::input::{ClientRequest, ConsoleCommand, ConsoleReply, Input, Reply};
 use crate::lifecycle::{Life, Order, Posture};
 use crate::list::{Endpoint, List};
+use crate::metrics::{self, Metrics, RequestEnd, Totals};
 use crate::peers::Peers;
 use crate::start_times::StartTimes;
-use crate::upstream::{Answer, AnswerBody, Attempt, Connection, Ended, Outgoing, Pool, Server};
+use crate::upstream::{
+    Attempt, AttemptOutcome, Connection, Pool, Server, ServerResponse, ServerResponseBody, UpstreamRequest,
+};
 use merlinfold_decide::interface::*;
 use merlinfold_decide::policy::Balancer;
 use merlinfold_fleet::Snapshot;
@@ -29,30 +31,30 @@
 
 mod configuration;
 mod lists;
-mod open;
 mod orders;
+mod pending_request;
 mod requests;
-mod tally;
+mod stats;
 
-use open::{Open, Out};
-use tally::{HeldList, Passing, Tally};
+use pending_request::{AttemptRecord, PendingRequest};
+use stats::{AttemptStats, ListStatus, StreamedBodies};
 
-const MARGIN: Nanos = 5_000_000; // before the client's time runs out, for the answer's way back
-const BACKSTOP: Nanos = 2_000_000; // after the module's time is over; within the margin
-const RETIRE_EVERY: Nanos = 1_000_000_000; // between looks at idle connections
+const RESPONSE_MARGIN: Nanos = 5_000_000; // before the client's time runs out, for the answer's way back
+const OVERDUE_GRACE: Nanos = 2_000_000; // after the module's time is over; within the margin
+const POOL_SWEEP_INTERVAL: Nanos = 1_000_000_000; // between looks at idle connections
 const MILLISECOND: Nanos = 1_000_000;
-const BATCH: usize = 256; // inputs taken at once
-const LOOK_EVERY: Nanos = 100_000_000; // at what another process of this node has done; well under the drain rule's
-const REPORT_EVERY: Nanos = 5_000_000_000; // between log lines on answers and attempts
+const MAX_BATCH: usize = 256; // inputs taken at once
+const COMPANION_POLL_INTERVAL: Nanos = 100_000_000; // at what another process of this node has done; well under the drain rule's
+const REPORT_INTERVAL: Nanos = 5_000_000_000; // between log lines on answers and attempts
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Timer(u64),
-    Deadline(RequestId),
-    Retire,
+enum ScheduledTask {
+    ModuleTimer(u64),
+    RequestDeadline(RequestId),
+    PoolSweep,
     Report,
-    Life,
-    Look,
+    Lifecycle,
+    CompanionPoll,
 }
 
 /// Owns the module and all that belongs to it.
@@ -65,27 +67,27 @@
     capacity: Capacity,
     inputs: UnboundedSender<Input>,
     peers: Option<Peers>,
-    fleet: Option<Box<Snapshot>>, // as last told; none: its part has not begun, or the node belongs to none
+    fleet_snapshot: Option<Box<Snapshot>>, // as last told; none: its part has not begun, or the node belongs to none
     in_fleet: bool,
     in_force: Arc<InForce>,    // of the versioned configuration
     servers: Vec<Arc<Server>>, // by number
-    table: HashMap<RequestId, Open>,
-    due: BinaryHeap<Reverse<(Nanos, Due)>>,
+    requests: HashMap<RequestId, PendingRequest>,
+    schedule: BinaryHeap<Reverse<(Nanos, ScheduledTask)>>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    figures: Figures,
-    tally: Tally,
-    life: Life,
+    metrics: Metrics,
+    attempt_stats: AttemptStats,
+    lifecycle: Life,
     posture: watch::Sender<Posture>,
     members: Vec<bool>, // by number: whether the list has the server
     orders: Orders,
     shared: Option<Shared>,
-    looked: bool,     // at another process, at least once
-    look_fails: bool, // the last look at another process
-    starts: StartTimes,
+    has_polled: bool,  // at another process, at least once
+    poll_failed: bool, // the last look at another process
+    start_times: StartTimes,
     list_version: u64,
-    list_heard: Option<Nanos>, // when discovery last answered
-    listed: bool, // there has been a list with a server in it, or discovery has said that there is none
+    list_received_at: Option<Nanos>, // when discovery last answered
+    has_list: bool, // there has been a list with a server in it, or discovery has said that there is none
 }
 
 impl Driver {
@@ -94,7 +96,7 @@
         inputs: UnboundedSender<Input>,
     ) -> Self {
         let life = Life::new(limits.longest_deadline);
-        let figures = Figures::new(&names.classes);
+        let figures = Metrics::new(&names.classes);
         let (posture, _) = watch::channel(life.posture());
         Driver {
             balancer,
@@ -105,30 +107,30 @@
             capacity,
             inputs,
             peers: None,
-            fleet: None,
+            fleet_snapshot: None,
             in_fleet: false,
             in_force: Arc::default(),
             servers: Vec::new(),
-            table: HashMap::new(),
-            due: BinaryHeap::from([
-                Reverse((clock.now() + RETIRE_EVERY, Due::Retire)),
-                Reverse((clock.now() + REPORT_EVERY, Due::Report)),
+            requests: HashMap::new(),
+            schedule: BinaryHeap::from([
+                Reverse((clock.now() + POOL_SWEEP_INTERVAL, ScheduledTask::PoolSweep)),
+                Reverse((clock.now() + REPORT_INTERVAL, ScheduledTask::Report)),
             ]),
             events: VecDeque::new(),
             actions: Vec::new(),
-            figures,
-            tally: Tally::default(),
-            life,
+            metrics: figures,
+            attempt_stats: AttemptStats::default(),
+            lifecycle: life,
             posture,
             members: Vec::new(),
             orders: Orders::default(),
             shared: None,
-            looked: false,
-            look_fails: false,
-            starts: StartTimes::default(),
+            has_polled: false,
+            poll_failed: false,
+            start_times: StartTimes::default(),
             list_version: 0,
-            list_heard: None,
-            listed: false,
+            list_received_at: None,
+            has_list: false,
         }
     }
 
@@ -138,12 +140,12 @@
     }
 
     /// The socket for messages to peers.
-    pub fn tell_through(&mut self, peers: Option<&Peers>) {
+    pub fn set_peers(&mut self, peers: Option<&Peers>) {
         self.peers = peers.cloned();
     }
 
     /// The node belongs to a fleet, of which nothing is known yet.
-    pub fn expect_fleet(&mut self) {
+    pub fn set_in_fleet(&mut self) {
         self.in_fleet = true;
     }
 
@@ -152,132 +154,140 @@
     }
 
     /// The list as it was last held; the module's first event. Where lists are pushed the first one is awaited.
-    pub fn known(&mut self, list: List, pushed: bool) {
+    pub fn load_known_list(&mut self, list: List, pushed: bool) {
         if pushed {
-            self.life.await_list(self.clock.now());
-            self.live();
+            self.lifecycle.await_list(self.clock.now());
+            self.update_lifecycle();
         }
-        self.list(ListKind::Persisted, list);
+        self.apply_list(ListKind::Persisted, list);
     }
 
     pub async fn run(mut self, mut inputs: UnboundedReceiver<Input>) {
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         loop {
-            let next = self.due.peek().map_or(self.clock.now(), |Reverse((at, _))| *at);
-            if let Ok(0) = timeout_at(self.clock.instant(next), inputs.recv_many(&mut batch, BATCH)).await {
+            let next = self.schedule.peek().map_or(self.clock.now(), |Reverse((at, _))| *at);
+            if let Ok(0) = timeout_at(self.clock.instant(next), inputs.recv_many(&mut batch, MAX_BATCH)).await
+            {
                 return;
             }
             // A request is decided on with all the news that came in with it.
             batch.sort_by_key(|input| matches!(input, Input::Request(_)));
-            batch.drain(..).for_each(|input| self.take(input));
-            self.fire();
+            batch.drain(..).for_each(|input| self.handle_input(input));
+            self.run_due_tasks();
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Request(arrival) => self.request(arrival),
-            Input::Ended { id, attempt, ended } => self.ended(id, attempt, *ended),
-            Input::Gone(id) => {
+            Input::Request(arrival) => self.receive_request(arrival),
+            Input::AttemptEnded { id, attempt, outcome: ended } => self.finish_attempt(id, attempt, *ended),
+            Input::ClientLeft(id) => {
                 // What the module has ended by itself it need not hear of.
-                let open = self.table.get_mut(&id);
-                if open.is_some_and(|open| open.end(None, &mut self.figures)) {
-                    self.handle(Event::Gone(id));
+                let open = self.requests.get_mut(&id);
+                if open.is_some_and(|open| open.finish(None, &mut self.metrics)) {
+                    self.handle_event(Event::Gone(id));
                 }
-                self.settle(id);
+                self.remove_if_finished(id);
             }
-            Input::Uploaded(id) => self.handle(Event::Uploaded(id)),
-            Input::Relayed { id, end, connection } => {
-                if let Some(open) = self.table.get_mut(&id) {
-                    open.relayed(end, &mut self.figures);
+            Input::Uploaded(id) => self.handle_event(Event::Uploaded(id)),
+            Input::ResponseEnded { id, end, connection } => {
+                if let Some(open) = self.requests.get_mut(&id) {
+                    open.response_ended(end, &mut self.metrics);
                     let server = open.attempts.last().map(|out| out.server);
                     if let (Some(server), Some(connection)) = (server, connection.filter(|c| !c.is_closed()))
                     {
-                        self.keep(server, connection);
+                        self.pool_connection(server, connection);
                     }
                 }
-                self.settle(id);
+                self.remove_if_finished(id);
             }
-            Input::Opened { server, connection } => self.keep(server, connection),
+            Input::LateConnection { server, connection } => self.pool_connection(server, connection),
             Input::List(list) => {
                 // One that names no change still says that discovery answers.
                 let kind = if list.snapshot { ListKind::Complete } else { ListKind::Partial };
-                self.list(kind, list);
-                self.life.listed();
-                self.live();
+                self.apply_list(kind, list);
+                self.lifecycle.listed();
+                self.update_lifecycle();
             }
-            Input::Peer { from, bytes } => self.handle(Event::Peer { from, bytes }),
-            Input::Call { call, said } => {
-                let answer = self.call(call);
+            Input::Peer { from, bytes } => self.handle_event(Event::Peer { from, bytes }),
+            Input::Console { command: call, reply: said } => {
+                let answer = self.handle_command(call);
                 let _ = said.send(answer); // a caller that has left wants no answer
             }
-            Input::Configuration { change, taken } => {
-                self.reconfigure(*change);
+            Input::Configuration { change, applied: taken } => {
+                self.apply_revision(*change);
                 let _ = taken.send(()); // who waits for it is gone only when the process ends
             }
-            Input::Fleet(fleet) => self.fleet = Some(fleet),
+            Input::Fleet(fleet) => self.fleet_snapshot = Some(fleet),
             Input::Terminate => {
-                self.order(Order::Terminate);
+                self.apply_order(Order::Terminate);
             }
         }
     }
 
     /// What has come due.
-    fn fire(&mut self) {
+    fn run_due_tasks(&mut self) {
         let now = self.clock.now();
-        while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-            let Some(Reverse((_, due))) = self.due.pop() else { return };
+        while self.schedule.peek().is_some_and(|Reverse((at, _))| *at <= now) {
+            let Some(Reverse((_, due))) = self.schedule.pop() else { return };
             match due {
-                Due::Timer(token) => self.handle(Event::Timer(token)),
-                Due::Deadline(id) => self.backstop(id),
-                Due::Retire => {
-                    self.pool.retire();
-                    self.due.push(Reverse((now + RETIRE_EVERY, Due::Retire)));
+                ScheduledTask::ModuleTimer(token) => self.handle_event(Event::Timer(token)),
+                ScheduledTask::RequestDeadline(id) => self.fail_overdue(id),
+                ScheduledTask::PoolSweep => {
+                    self.pool.close_expired();
+                    self.schedule.push(Reverse((now + POOL_SWEEP_INTERVAL, ScheduledTask::PoolSweep)));
                 }
-                Due::Report => {
-                    let ready = self.servers.iter().filter(|server| server.takes_sends(now)).count();
-                    let age = self.list_heard.map(|at| now - at);
-                    let list = HeldList { version: self.list_version, age, ready };
-                    self.tally.report(&self.names, list, self.figures.totals());
-                    let passing = self.table.values().fold(Passing::default(), |sum, open| Passing {
-                        up: sum.up + usize::from(open.outgoing.upload().is_some_and(|u| u.over().is_none())),
-                        down: sum.down + usize::from(open.relays),
-                    });
+                ScheduledTask::Report => {
+                    let ready = self.servers.iter().filter(|server| server.accepts_sends(now)).count();
+                    let age = self.list_received_at.map(|at| now - at);
+                    let list = ListStatus { version: self.list_version, age, ready };
+                    self.attempt_stats.report(&self.names, list, self.metrics.totals());
+                    let passing =
+                        self.requests.values().fold(StreamedBodies::default(), |sum, open| StreamedBodies {
+                            up: sum.up
+                                + usize::from(
+                                    open.request.upload().is_some_and(|u| u.completed_at().is_none()),
+                                ),
+                            down: sum.down + usize::from(open.is_streaming),
+                        });
                     if passing.up + passing.down > 0 {
                         info!(up = passing.up, down = passing.down, "long bodies");
                     }
-                    self.due.push(Reverse((now + REPORT_EVERY, Due::Report)));
+                    self.schedule.push(Reverse((now + REPORT_INTERVAL, ScheduledTask::Report)));
                 }
-                Due::Life => self.live(),
-                Due::Look => {
-                    self.look();
+                ScheduledTask::Lifecycle => self.update_lifecycle(),
+                ScheduledTask::CompanionPoll => {
+                    self.poll_companion();
                     if self.shared.is_some() {
-                        self.due.push(Reverse((now + LOOK_EVERY, Due::Look)));
+                        self.schedule
+                            .push(Reverse((now + COMPANION_POLL_INTERVAL, ScheduledTask::CompanionPoll)));
                     }
                 }
             }
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
             let now = self.clock.now();
             let mut actions = std::mem::take(&mut self.actions);
             self.balancer.handle(now, event, &mut actions);
-            actions.drain(..).for_each(|action| self.carry_out(now, action));
+            actions.drain(..).for_each(|action| self.execute(now, action));
             self.actions = actions;
         }
     }
 
-    fn carry_out(&mut self, now: Nanos, action: Action) {
+    fn execute(&mut self, now: Nanos, action: Action) {
         match action {
-            Action::Send { id, server, timeout, within } => self.send(now, id, server, timeout, within),
-            Action::Cancel { id, attempt } => self.cancel(now, id, attempt),
-            Action::Refuse { id, retry_after } => self.answer(id, Reply::Refused { retry_after }),
-            Action::Fail { id } => self.answer(id, Reply::Failed),
+            Action::Send { id, server, timeout, within } => {
+                self.start_attempt(now, id, server, timeout, within)
+            }
+            Action::Cancel { id, attempt } => self.cancel_attempt(now, id, attempt),
+            Action::Refuse { id, retry_after } => self.reply(id, Reply::Refused { retry_after }),
+            Action::Fail { id } => self.reply(id, Reply::Failed),
             Action::Timer { after, token } => {
-                self.due.push(Reverse((now.saturating_add(after), Due::Timer(token))));
+                self.schedule.push(Reverse((now.saturating_add(after), ScheduledTask::ModuleTimer(token))));
             }
             Action::Tell { to, bytes } => {
                 if let Some(peers) = &self.peers {
--- a/crates/node/src/driver/orders.rs
+++ b/crates/node/src/driver/orders.rs
@@ -3,40 +3,44 @@
 use super::*;
 
 impl Driver {
-    pub(super) fn call(&mut self, call: Call) -> Said {
+    pub(super) fn handle_command(&mut self, call: ConsoleCommand) -> ConsoleReply {
         match call {
-            Call::Status if !self.life.posture().opens => {
-                Said::NotNow("the predecessor makes room".to_owned())
+            ConsoleCommand::Status if !self.lifecycle.posture().opens => {
+                ConsoleReply::Unavailable("the predecessor makes room".to_owned())
             }
-            Call::Status if self.listed => Said::Yes(format!("{}\n", self.life.name())),
-            Call::Status => Said::NotNow("no server list yet".to_owned()),
-            Call::Figures => {
+            ConsoleCommand::Status if self.has_list => {
+                ConsoleReply::Ok(format!("{}\n", self.lifecycle.name()))
+            }
+            ConsoleCommand::Status => ConsoleReply::Unavailable("no server list yet".to_owned()),
+            ConsoleCommand::Metrics => {
                 let members = self.members.iter().filter(|member| **member).count();
-                let mut text = self.figures.text(members, self.balancer.avoided(self.clock.now()));
-                if let Some(fleet) = &self.fleet {
-                    text.push_str(&figures::of_fleet(fleet));
+                let mut text = self.metrics.text(members, self.balancer.avoided(self.clock.now()));
+                if let Some(fleet) = &self.fleet_snapshot {
+                    text.push_str(&metrics::fleet_text(fleet));
                 }
-                Said::Yes(text)
+                ConsoleReply::Ok(text)
             }
-            Call::Members => match &self.fleet {
+            ConsoleCommand::Members => match &self.fleet_snapshot {
                 Some(fleet) => match serde_json::to_string_pretty(fleet) {
-                    Ok(text) => Said::Yes(text + "\n"),
-                    Err(error) => Said::NotNow(format!("members: {error}")),
+                    Ok(text) => ConsoleReply::Ok(text + "\n"),
+                    Err(error) => ConsoleReply::Unavailable(format!("members: {error}")),
                 },
-                None if self.in_fleet => Said::NotNow("the fleet's part has not begun: ask again".to_owned()),
-                None => Said::Unknown("no fleet: merlinfold.toml has no [fleet]".to_owned()),
+                None if self.in_fleet => {
+                    ConsoleReply::Unavailable("the fleet's part has not begun: ask again".to_owned())
+                }
+                None => ConsoleReply::NotFound("no fleet: merlinfold.toml has no [fleet]".to_owned()),
             },
-            Call::Maintenance { member, out } => self.maintenance(&member, out),
-            Call::Standby(standby) => self.stand_by(standby),
+            ConsoleCommand::Maintenance { member, out } => self.set_maintenance(&member, out),
+            ConsoleCommand::Standby(standby) => self.set_standby(standby),
         }
     }
 
     /// Takes a server out, or puts it back. One that the list has lost may still be meant: it may come again.
-    pub(super) fn maintenance(&mut self, member: &str, out: bool) -> Said {
-        self.look(); // or an order that the other process has written just now would be written over
+    pub(super) fn set_maintenance(&mut self, member: &str, out: bool) -> ConsoleReply {
+        self.poll_companion(); // or an order that the other process has written just now would be written over
         let mut orders = self.orders.clone();
         if self.names.servers.get(member).is_none() && !orders.out.contains(member) {
-            return Said::Unknown(format!("no guide server {member:.100}"));
+            return ConsoleReply::NotFound(format!("no guide server {member:.100}"));
         }
         let now = self.clock.now();
         if out {
@@ -47,75 +51,76 @@
         }
         let ramp = self.limits.ramp_time;
         orders.back.retain(|_, &mut at| now < at.saturating_add(ramp));
-        self.adopt(orders);
-        self.publish();
-        Said::Yes(format!("{member} {}\n", if out { "out" } else { "back" }))
+        self.apply_orders(orders);
+        self.publish_orders();
+        ConsoleReply::Ok(format!("{member} {}\n", if out { "out" } else { "back" }))
     }
 
     /// Shares with the other processes of this node from now on, and takes over what one before has left.
-    pub fn share(&mut self, shared: Shared) {
+    pub fn share_state(&mut self, shared: Shared) {
         self.shared = Some(shared);
-        self.look();
-        self.due.push(Reverse((self.clock.now() + LOOK_EVERY, Due::Look)));
+        self.poll_companion();
+        self.schedule
+            .push(Reverse((self.clock.now() + COMPANION_POLL_INTERVAL, ScheduledTask::CompanionPoll)));
     }
 
     /// Looks what another process of this node has done.
-    pub(super) fn look(&mut self) {
+    pub(super) fn poll_companion(&mut self) {
         let Some(shared) = &mut self.shared else { return };
         let had = shared.has_companion();
         if let Err(error) = shared.look() {
-            if !std::mem::replace(&mut self.look_fails, true) {
+            if !std::mem::replace(&mut self.poll_failed, true) {
                 warn!(%error, "another process of this node would not be noticed: tried again at each look");
             }
             return;
         }
-        self.look_fails = false;
+        self.poll_failed = false;
         let has = shared.has_companion();
         if has != had {
             self.capacity.resize(has);
         }
-        if !std::mem::replace(&mut self.looked, true) {
-            self.take_over(has);
+        if !std::mem::replace(&mut self.has_polled, true) {
+            self.inherit_orders(has);
         }
-        self.share_room(has);
+        self.share_capacity(has);
         self.read_orders();
-        self.live();
+        self.update_lifecycle();
     }
 
     /// Takes over what an earlier process has left, at the first look that succeeds.
-    fn take_over(&mut self, companion: bool) {
+    fn inherit_orders(&mut self, companion: bool) {
         if companion {
-            self.life.wait(self.clock.now());
+            self.lifecycle.wait(self.clock.now());
         }
         let told = self.orders.clone();
         if let Some(mut orders) = self.shared.as_mut().and_then(Shared::changed) {
             info!(?orders, companion, "orders of an earlier process");
             orders.standby &= companion; // nobody knows of a drain before a crash any more
             orders.follow(&told);
-            self.adopt(orders);
+            self.apply_orders(orders);
         }
         if told != Orders::default() {
-            self.publish();
+            self.publish_orders();
         }
     }
 
     /// Opens and makes room by how much the other process keeps.
-    fn share_room(&mut self, companion: bool) {
+    fn share_capacity(&mut self, companion: bool) {
         let Some(shared) = &mut self.shared else { return };
         if !self.capacity.settle() {
-            self.pool.shed();
-            self.life.retire(); // a client that asks again is served by the other process
+            self.pool.shrink();
+            self.lifecycle.retire(); // a client that asks again is served by the other process
         }
         if !companion {
-            self.life.open();
+            self.lifecycle.open();
         } else if shared.is_first() {
-            if let Err(error) = shared.keep(self.capacity.kept()) {
+            if let Err(error) = shared.keep(self.capacity.allocation()) {
                 warn!(%error, "a successor does not hear how much room there is");
             }
         } else if !shared.has_place() {
-            self.life.wait(self.clock.now()); // a third process, for which there is no room
-        } else if shared.kept().is_some_and(|kept| self.capacity.fit(kept)) {
-            self.life.open();
+            self.lifecycle.wait(self.clock.now()); // a third process, for which there is no room
+        } else if shared.kept().is_some_and(|kept| self.capacity.fit_beside(kept)) {
+            self.lifecycle.open();
         }
     }
 
@@ -124,12 +129,12 @@
         shared.write_again();
         if let Some(orders) = shared.changed() {
             info!(?orders, "orders from another process");
-            self.adopt(orders);
+            self.apply_orders(orders);
         }
     }
 
     /// Carries out what differs from the orders so far.
-    pub(super) fn adopt(&mut self, orders: Orders) {
+    pub(super) fn apply_orders(&mut self, orders: Orders) {
         let was = std::mem::replace(&mut self.orders, orders);
         let now = self.clock.now();
         let gone_out: Vec<String> = self.orders.out.difference(&was.out).cloned().collect();
@@ -138,30 +143,30 @@
         for name in gone_out.iter().chain(&put_back) {
             if let Some(number) = self.names.servers.get(name) {
                 let server = ServerId(number as u32);
-                self.maintain(server);
-                self.mark(server, now);
+                self.notify_maintenance(server);
+                self.update_readiness(server, now);
             }
         }
         if self.orders.standby != was.standby {
-            self.order(if self.orders.standby { Order::Standby } else { Order::Active });
+            self.apply_order(if self.orders.standby { Order::Standby } else { Order::Active });
         }
     }
 
     /// Tells the module what is ordered about a server.
-    pub(super) fn maintain(&mut self, server: ServerId) {
+    pub(super) fn notify_maintenance(&mut self, server: ServerId) {
         let name = self.names.servers.name(server.0 as usize);
         let out = self.orders.out.contains(name);
         let back = self.orders.back.get(name).copied();
         if out || back.is_some() {
             let now = self.clock.now();
             let since = back.map_or(now, |at| at.min(now)); // the other process may have had another clock
-            self.handle(Event::Maintenance { server, out, since });
+            self.handle_event(Event::Maintenance { server, out, since });
         }
     }
 
     /// Lets other processes of this node know of the orders.
-    pub(super) fn publish(&mut self) {
-        if !self.looked {
+    pub(super) fn publish_orders(&mut self) {
+        if !self.has_polled {
             return; // what an earlier process has left is still to be read, and would be written over
         }
         if let Some(shared) = &mut self.shared {
@@ -170,32 +175,32 @@
     }
 
     /// Drains, or ends that.
-    pub(super) fn stand_by(&mut self, standby: bool) -> Said {
-        self.look();
+    pub(super) fn set_standby(&mut self, standby: bool) -> ConsoleReply {
+        self.poll_companion();
         let orders = Orders { standby, ..self.orders.clone() };
-        if !self.order(if standby { Order::Standby } else { Order::Active }) {
-            return Said::Conflict("the node ends".to_owned());
+        if !self.apply_order(if standby { Order::Standby } else { Order::Active }) {
+            return ConsoleReply::Conflict("the node ends".to_owned());
         }
         self.orders = orders;
-        self.publish();
-        Said::Yes(format!("{}\n", self.life.name()))
+        self.publish_orders();
+        ConsoleReply::Ok(format!("{}\n", self.lifecycle.name()))
     }
 
     /// Carries an order out, if that can still be done.
-    pub(super) fn order(&mut self, order: Order) -> bool {
-        let done = self.life.order(self.clock.now(), order);
-        info!(?order, done, state = self.life.name(), "order");
-        self.live();
+    pub(super) fn apply_order(&mut self, order: Order) -> bool {
+        let done = self.lifecycle.order(self.clock.now(), order);
+        info!(?order, done, state = self.lifecycle.name(), "order");
+        self.update_lifecycle();
         done
     }
 
     /// Lets the front know what the node's life asks for, and sees to it when that changes next.
-    pub(super) fn live(&mut self) {
-        self.life.tick(self.clock.now());
-        let posture = self.life.posture();
+    pub(super) fn update_lifecycle(&mut self) {
+        self.lifecycle.tick(self.clock.now());
+        let posture = self.lifecycle.posture();
         self.posture.send_if_modified(|known| std::mem::replace(known, posture) != posture);
-        if let Some(at) = self.life.due() {
-            self.due.push(Reverse((at, Due::Life)));
+        if let Some(at) = self.lifecycle.due() {
+            self.schedule.push(Reverse((at, ScheduledTask::Lifecycle)));
         }
     }
 }
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -27,59 +27,59 @@
 use tokio_util::sync::CancellationToken;
 use tracing::{info, warn};
 
-use crate::body::{gather, Broken, Budget, Gathered, Held, Upload, Waited};
+use crate::body::{buffer_body, BodyError, BodyPrefix, BufferBudget, BufferedBody, OnTimeout, Upload};
 use crate::capacity::Capacity;
 use crate::clock::Clock;
 use crate::configuration::NamedTenant;
-use crate::head::Asked;
-use crate::input::{Arrival, Input, Reply};
+use crate::connection_timeouts::{CloseReason, ConnectionTimeouts};
+use crate::input::{ClientRequest, Input, Reply};
 use crate::lifecycle::Posture;
-use crate::line::{Line, Why};
-use crate::stream::{is_transient, Heard, Shared};
-use crate::upstream::{AnswerBody, Outgoing, Payload, Relay};
+use crate::request_head::RequestHead;
+use crate::stream::{is_transient, MonitoredStream, SharedStream};
+use crate::upstream::{Relay, RequestBody, ServerResponseBody, UpstreamRequest};
 use merlinfold_decide::interface::{Nanos, RequestId, Settings};
 use merlinfold_settings::{Names, Numbering};
 
 mod accept;
-mod answer;
+mod active_request;
 mod connection;
 mod listener;
+mod response;
 mod stall;
-mod tally;
-mod under_way;
+mod stats;
 
-use answer::*;
+use active_request::{ActiveRequest, CancelOnDrop};
 pub use listener::ClientListener;
 use listener::BACKLOG;
+use response::*;
 use stall::StallDetector;
-use tally::{count, Tally};
-use under_way::{UnderWay, Waiting};
+use stats::{increment, ConnectionStats};
 
 /// From a head on, for a body's next bytes: clients send in pieces, with seconds between them.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 /// From connecting on, for all of a first request that does not move: its peer is owed an error within 3 s.
-const FIRST_TIMEOUT: Duration = Duration::from_millis(2_850);
-const FIRST_BODY_TIMEOUT: Duration = Duration::from_millis(600); // the least that a slow head leaves its body
-const BODY_RATE: f64 = 48_000.0; // bytes a second that a body comes with at least: clients may take 64 kB/s
-const SETTLE: Duration = Duration::from_millis(20); // until a connection is sure to have been looked at
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_850);
+const MIN_FIRST_BODY_TIMEOUT: Duration = Duration::from_millis(600); // the least that a slow head leaves its body
+const MIN_BODY_RATE: f64 = 48_000.0; // bytes a second that a body comes with at least: clients may take 64 kB/s
+const SETTLE_INTERVAL: Duration = Duration::from_millis(20); // until a connection is sure to have been looked at
 
-const REPORT_EVERY: Duration = Duration::from_secs(5); // between log lines on the clients' connections
+const REPORT_INTERVAL: Duration = Duration::from_secs(5); // between log lines on the clients' connections
 
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(10);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What the tasks of all client connections share.
 pub struct Front {
     classes: Numbering,
     tenants: Numbering,
-    adds_tenants: bool, // revisions of the configuration may name others
+    accepts_new_tenants: bool, // revisions of the configuration may name others
     deadlines: Vec<Nanos>,
     posture: watch::Receiver<Posture>,
     capacity: Capacity,
     clock: Clock,
     inputs: UnboundedSender<Input>,
-    next: AtomicU64,
+    next_id: AtomicU64,
     stalls: StallDetector,
-    tally: Tally,
+    stats: ConnectionStats,
 }
 
 impl Front {
@@ -90,21 +90,21 @@
         Front {
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
-            adds_tenants: false,
+            accepts_new_tenants: false,
             deadlines: settings.classes.iter().map(|class| class.deadline).collect(),
             posture,
             capacity,
             clock,
             inputs,
-            next: AtomicU64::new(0),
+            next_id: AtomicU64::new(0),
             stalls: StallDetector::new(clock.now()),
-            tally: Tally::default(),
+            stats: ConnectionStats::default(),
         }
     }
 
     /// Revisions of the configuration may add tenants from now on.
-    pub fn expect_tenants(&mut self) {
-        self.adds_tenants = true;
+    pub fn accept_new_tenants(&mut self) {
+        self.accepts_new_tenants = true;
     }
 
     /// Accepts for as long as the posture says, and returns when all connections have ended.
@@ -114,11 +114,11 @@
         tokio::spawn(async move {
             let mut reported = Instant::now();
             loop {
-                sleep(HEARTBEAT_EVERY).await;
+                sleep(HEARTBEAT_INTERVAL).await;
                 front.stalls.heartbeat(front.clock.now());
-                if reported.elapsed() >= REPORT_EVERY {
+                if reported.elapsed() >= REPORT_INTERVAL {
                     reported = Instant::now();
-                    front.tally.report(front.capacity.clients.held(), front.capacity.clients.most());
+                    front.stats.report(front.capacity.clients.in_use(), front.capacity.clients.total());
                 }
             }
         });
@@ -145,19 +145,20 @@
                 }
                 // Once a client is due to be left without an answer, waiting for its slot serves nobody.
                 let ends_at = self.posture.borrow().ends_at.unwrap_or(self.clock.now());
-                let left = timeout_at(self.clock.instant(ends_at), self.leave(listener, &closing)).await;
+                let left =
+                    timeout_at(self.clock.instant(ends_at), self.drain_backlog(listener, &closing)).await;
                 if left.is_err() {
                     warn!("clients were still waiting to be accepted at the end");
                 }
             }
             Err(error) => return warn!(%error, "cannot listen for clients"),
         }
-        sleep(SETTLE).await;
+        sleep(SETTLE_INTERVAL).await;
         close.send_replace(true);
         let ends_at = self.posture.borrow().ends_at.unwrap_or(self.clock.now());
         let all_gone = async {
-            while self.capacity.clients.held() > 0 {
-                sleep(SETTLE).await;
+            while self.capacity.clients.in_use() > 0 {
+                sleep(SETTLE_INTERVAL).await;
             }
         };
         if timeout_at(self.clock.instant(ends_at), all_gone).await.is_err() {
@@ -165,98 +166,99 @@
         }
     }
 
-    async fn answer(
-        &self, request: Request<Incoming>, under_way: UnderWay, first: Option<Instant>,
-    ) -> Result<Response<Lasting>, Infallible> {
-        let answered = self.respond(request, &under_way, first).await;
+    async fn handle_request(
+        &self, request: Request<Incoming>, under_way: ActiveRequest, first: Option<Instant>,
+    ) -> Result<Response<TrackedBody>, Infallible> {
+        let answered = self.process_request(request, &under_way, first).await;
         // Who sends no proper request is not given another try at the cost of a client's slot.
         let improper = answered.is_err();
         let mut response = match answered {
             Ok(response) => response,
             Err(status) => {
-                count(&self.tally.rejected);
-                let mut response = Response::new(Outgo::nothing());
+                increment(&self.stats.rejected);
+                let mut response = Response::new(ClientBody::empty());
                 *response.status_mut() = status;
                 response
             }
         };
-        if improper || !self.posture.borrow().keeps || self.short() {
+        if improper || !self.posture.borrow().keeps || self.is_nearly_full() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        Ok(response.map(|body| Lasting { body, _under_way: under_way }))
+        Ok(response.map(|body| TrackedBody { body, _active_request: under_way }))
     }
 
-    async fn respond(
-        &self, request: Request<Incoming>, under_way: &UnderWay, first: Option<Instant>,
-    ) -> Result<Response<Outgo>, StatusCode> {
-        let line = &*under_way.line;
+    async fn process_request(
+        &self, request: Request<Incoming>, under_way: &ActiveRequest, first: Option<Instant>,
+    ) -> Result<Response<ClientBody>, StatusCode> {
+        let line = &*under_way.timeouts;
         let arrived = self.stalls.arrival(self.clock.now());
         let (head, mut body) = request.into_parts();
         if head.uri.path() == "/health/ready" && matches!(head.method, Method::GET | Method::HEAD) {
-            let mut response = Response::new(Outgo::nothing());
+            let mut response = Response::new(ClientBody::empty());
             if !self.posture.borrow().ready {
                 *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             }
-            line.read();
+            line.request_read();
             return Ok(response);
         }
-        let asked = Asked::read(&head.uri, &head.headers);
+        let asked = RequestHead::read(&head.uri, &head.headers);
         let class = asked.class.and_then(|name| self.classes.get(name)).ok_or(StatusCode::NOT_FOUND)?;
         if !asked.has_id {
             return Err(StatusCode::BAD_REQUEST);
         }
-        let Asked { key, cost_hint, repeat, remaining, .. } = asked;
-        let tenant = asked.tenant.and_then(|name| NamedTenant::named(name, &self.tenants, self.adds_tenants));
+        let RequestHead { key, cost_hint, repeat, remaining, .. } = asked;
+        let tenant =
+            asked.tenant.and_then(|name| NamedTenant::named(name, &self.tenants, self.accepts_new_tenants));
         let bodiless = body.is_end_stream();
         let begun = Instant::now();
         let patient = match first {
-            Some(connected) => (connected + FIRST_TIMEOUT).max(begun + FIRST_BODY_TIMEOUT),
+            Some(connected) => (connected + FIRST_REQUEST_TIMEOUT).max(begun + MIN_FIRST_BODY_TIMEOUT),
             None => begun + BODY_TIMEOUT,
         };
         let next =
-            |came: usize| (patient + Duration::from_secs_f64(came as f64 / BODY_RATE), Waited::TooLong);
-        let gathered =
-            gather(&mut body, &Budget(self.capacity.bodies.clone()), next).await.map_err(|broken| {
-                match broken {
-                    Broken::Late => StatusCode::REQUEST_TIMEOUT,
-                    Broken::Off => StatusCode::BAD_REQUEST,
-                }
+            |came: usize| (patient + Duration::from_secs_f64(came as f64 / MIN_BODY_RATE), OnTimeout::Fail);
+        let gathered = buffer_body(&mut body, &BufferBudget(self.capacity.bodies.clone()), next)
+            .await
+            .map_err(|broken| match broken {
+                BodyError::TimedOut => StatusCode::REQUEST_TIMEOUT,
+                BodyError::Broken => StatusCode::BAD_REQUEST,
             })?;
-        line.read();
+        line.request_read();
         // Its time counts from its last byte; that of a long one, which is still to come, from when it does.
         let arrived = if bodiless { arrived } else { self.stalls.arrival(self.clock.now()) };
         let deadline = self.deadlines[class];
         let expires = arrived + remaining.unwrap_or(deadline).min(deadline);
         let expires = self.posture.borrow().answers_by.map_or(expires, |by| expires.min(by));
         let body = match gathered {
-            all @ Gathered { whole: true, .. } => Payload::Held(all.into()),
-            some => Payload::Long(Arc::new(Upload::new(some, body, self.clock))),
+            all @ BodyPrefix { is_complete: true, .. } => RequestBody::Buffered(all.into()),
+            some => RequestBody::Streamed(Arc::new(Upload::new(some, body, self.clock))),
         };
         let asks_head = head.method == Method::HEAD;
         let path = head.uri.path_and_query().cloned().map_or_else(Uri::default, Uri::from);
-        let outgoing = Arc::new(Outgoing::new(head.method, path, head.headers, body));
-        let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
+        let outgoing = Arc::new(UpstreamRequest::new(head.method, path, head.headers, body));
+        let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (client, reply) = oneshot::channel();
-        let arrival = Arrival {
+        let arrival = ClientRequest {
             id,
             class,
             tenant,
             key,
             cost_hint,
             repeat,
-            expires,
+            client_deadline: expires,
             outgoing: outgoing.clone(),
             client,
         };
-        let mut waiting = Waiting { inputs: &self.inputs, id, over: &outgoing.over, answered: false };
+        let mut waiting =
+            CancelOnDrop { inputs: &self.inputs, id, cancellation: &outgoing.cancellation, answered: false };
         let _ = self.inputs.send(Input::Request(arrival));
         let reply = tokio::select! {
             biased;
             reply = reply => reply.unwrap_or(Reply::Failed),
-            () = under_way.left() => return Err(StatusCode::BAD_REQUEST), // nobody is there to read it
+            () = under_way.wait_for_disconnect() => return Err(StatusCode::BAD_REQUEST), // nobody is there to read it
         };
         waiting.answered = true;
-        Ok(response(reply, asks_head))
+        Ok(build_response(reply, asks_head))
     }
 }
 
--- a/crates/node/src/front/answer.rs
+++ b/crates/node/src/front/response.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 /// An answer's body, while which its request is under way.
-pub(super) struct Lasting {
-    pub(super) body: Outgo,
-    pub(super) _under_way: UnderWay,
+pub(super) struct TrackedBody {
+    pub(super) body: ClientBody,
+    pub(super) _active_request: ActiveRequest,
 }
 
-impl Body for Lasting {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -16,51 +16,53 @@
         mut self: Pin<&mut Self>, cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         match &mut self.body {
-            Outgo::Held { body, .. } => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Outgo::Long(relay) => Pin::new(relay).poll_frame(cx),
+            ClientBody::Buffered { body, .. } => {
+                Pin::new(body).poll_frame(cx).map_err(|never| match never {})
+            }
+            ClientBody::Streamed(relay) => Pin::new(relay).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.body {
-            Outgo::Held { body, .. } => body.is_end_stream(),
-            Outgo::Long(relay) => relay.is_end_stream(),
+            ClientBody::Buffered { body, .. } => body.is_end_stream(),
+            ClientBody::Streamed(relay) => relay.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            Outgo::Held { body, .. } => body.size_hint(),
-            Outgo::Long(relay) => relay.size_hint(),
+            ClientBody::Buffered { body, .. } => body.size_hint(),
+            ClientBody::Streamed(relay) => relay.size_hint(),
         }
     }
 }
 
 /// What is in it.
-pub(super) enum Outgo {
-    Held { body: Full<Bytes>, _held: Held },
-    Long(Box<Relay>),
+pub(super) enum ClientBody {
+    Buffered { body: Full<Bytes>, _buffer: BufferedBody },
+    Streamed(Box<Relay>),
 }
 
-impl Outgo {
-    pub(super) fn nothing() -> Self {
-        Outgo::from(Held::small(Bytes::new()))
+impl ClientBody {
+    pub(super) fn empty() -> Self {
+        ClientBody::from(BufferedBody::small(Bytes::new()))
     }
 }
 
-impl From<Held> for Outgo {
-    fn from(held: Held) -> Self {
-        Outgo::Held { body: Full::new(held.bytes.clone()), _held: held }
+impl From<BufferedBody> for ClientBody {
+    fn from(held: BufferedBody) -> Self {
+        ClientBody::Buffered { body: Full::new(held.bytes.clone()), _buffer: held }
     }
 }
 
-pub(super) fn response(reply: Reply, asks_head: bool) -> Response<Outgo> {
-    let mut response = Response::new(Outgo::nothing());
+pub(super) fn build_response(reply: Reply, asks_head: bool) -> Response<ClientBody> {
+    let mut response = Response::new(ClientBody::empty());
     match reply {
         Reply::Served(answer) => {
             *response.body_mut() = match answer.body {
-                AnswerBody::Held(held) => held.into(),
-                AnswerBody::Long(relay) => Outgo::Long(relay),
+                ServerResponseBody::Buffered(held) => held.into(),
+                ServerResponseBody::Streamed(relay) => ClientBody::Streamed(relay),
             };
             if let Some(length) = answer.length.filter(|_| asks_head) {
                 response.headers_mut().insert(CONTENT_LENGTH, length);
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 
-use crate::capacity::Shares;
+use crate::capacity::Allocation;
 
 const FORM: &str = "merlinfold-orders";
 const VERSION: u32 = 1;
@@ -192,7 +192,7 @@
     }
 
     /// Tells the process beside this one how much this one still keeps, if that has changed.
-    pub fn keep(&mut self, kept: Shares) -> io::Result<()> {
+    pub fn keep(&mut self, kept: Allocation) -> io::Result<()> {
         let token = fs::read_to_string(&self.second.path)?;
         let said = format!("{token} {} {} {}", kept.clients, kept.servers, kept.bodies);
         if self.said.as_ref() != Some(&said) {
@@ -204,12 +204,12 @@
 
     /// What the process that came first still keeps, once it has told this one. A file that is another's, or cut
     /// short, tells nothing.
-    pub fn kept(&self) -> Option<Shares> {
+    pub fn kept(&self) -> Option<Allocation> {
         let text = fs::read_to_string(&self.room).ok()?;
         let mut words = text.split(' ');
         words.next().filter(|token| *token == self.token)?;
         let mut number = || words.next().and_then(|word| word.parse().ok());
-        let kept = Shares { clients: number()?, servers: number()?, bodies: number()? };
+        let kept = Allocation { clients: number()?, servers: number()?, bodies: number()? };
         words.next().is_none().then_some(kept)
     }
 
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -8,29 +8,29 @@
 use tokio::sync::oneshot;
 
 use crate::configuration::{Change, NamedTenant};
-use crate::figures::End;
 use crate::list::List;
-use crate::upstream::{Answer, Connection, Ended, Outgoing};
+use crate::metrics::RequestEnd;
+use crate::upstream::{AttemptOutcome, Connection, ServerResponse, UpstreamRequest};
 
 /// What the other parts report.
 pub enum Input {
-    Request(Arrival),
-    Gone(RequestId),
-    Ended {
+    Request(ClientRequest),
+    ClientLeft(RequestId),
+    AttemptEnded {
         id: RequestId,
         attempt: u32,
-        ended: Box<Ended>,
+        outcome: Box<AttemptOutcome>,
     },
     /// A long request's last byte has been handed on.
     Uploaded(RequestId),
     /// A long answer has ended.
-    Relayed {
+    ResponseEnded {
         id: RequestId,
-        end: End,
+        end: RequestEnd,
         connection: Option<Connection>,
     },
     /// A connection that its attempt gave up has come up after all.
-    Opened {
+    LateConnection {
         server: ServerId,
         connection: Connection,
     },
@@ -42,14 +42,14 @@
     /// A revision of the configuration comes into force, as a whole.
     Configuration {
         change: Box<Change>,
-        taken: oneshot::Sender<()>,
+        applied: oneshot::Sender<()>,
     },
     /// How this node sees its fleet now.
     Fleet(Box<Snapshot>),
     /// An operator's call.
-    Call {
-        call: Call,
-        said: oneshot::Sender<Said>,
+    Console {
+        command: ConsoleCommand,
+        reply: oneshot::Sender<ConsoleReply>,
     },
     /// The platform ends this process.
     Terminate,
@@ -57,11 +57,11 @@
 
 /// What operators ask for.
 #[derive(Debug)]
-pub enum Call {
+pub enum ConsoleCommand {
     /// Whether this process can serve.
     Status,
     /// All counts.
-    Figures,
+    Metrics,
     /// The members of the fleet.
     Members,
     /// Takes a server out, or puts it back.
@@ -72,17 +72,17 @@
 
 /// What they are told.
 #[derive(Debug)]
-pub enum Said {
-    Yes(String),
-    NotNow(String),
+pub enum ConsoleReply {
+    Ok(String),
+    Unavailable(String),
     /// What the node is doing does not allow it.
     Conflict(String),
     /// There is no such thing.
-    Unknown(String),
+    NotFound(String),
 }
 
 /// A client's request.
-pub struct Arrival {
+pub struct ClientRequest {
     pub id: RequestId,
     pub class: usize,
     pub tenant: Option<NamedTenant>,
@@ -90,15 +90,15 @@
     pub cost_hint: Option<Nanos>,
     pub repeat: bool,
     /// When the client stops waiting.
-    pub expires: Nanos,
-    pub outgoing: Arc<Outgoing>,
+    pub client_deadline: Nanos,
+    pub outgoing: Arc<UpstreamRequest>,
     pub client: oneshot::Sender<Reply>,
 }
 
 /// A final answer.
 #[derive(Debug)]
 pub enum Reply {
-    Served(Answer),
+    Served(ServerResponse),
     Refused {
         retry_after: Nanos,
     },
@@ -109,5 +109,5 @@
 
 /// Hands changes of the configuration to the driver that takes these inputs; what it gives is false once that is gone.
 pub fn deliver_changes(inputs: UnboundedSender<Input>) -> impl Fn(Box<Change>, oneshot::Sender<()>) -> bool {
-    move |change, taken| inputs.send(Input::Configuration { change, taken }).is_ok()
+    move |change, taken| inputs.send(Input::Configuration { change, applied: taken }).is_ok()
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,19 +4,19 @@
 mod capacity;
 mod clock;
 pub mod configuration;
+mod connection_timeouts;
 mod console;
 mod discovery;
 mod driver;
-mod figures;
 mod front;
 mod handover;
-pub mod head;
 mod input;
 mod lifecycle;
-mod line;
 pub mod list;
+mod metrics;
 mod peers;
 pub mod process;
+pub mod request_head;
 mod start_times;
 mod stream;
 mod upstream;
@@ -167,12 +167,12 @@
         let mut driver =
             driver::Driver::new(balancer, names.clone(), clock, host, capacity.clone(), sender.clone());
         let front = front::Front::new(&settings, &names, clock, sender, capacity, driver.posture());
-        driver.tell_through(peers.as_ref());
+        driver.set_peers(peers.as_ref());
         // Before the list: no request may go to a server that is out, nor may one be taken in standby.
         if let Some(folder) = folder {
-            driver.share(handover::Shared::new(folder, &config.name));
+            driver.share_state(handover::Shared::new(folder, &config.name));
         }
-        driver.known(config.known.unwrap_or_default(), !asks);
+        driver.load_known_list(config.known.unwrap_or_default(), !asks);
         let opens = driver.posture().borrow().opens;
         let listener = front::ClientListener::new(socket, opens).map_err(cannot("listen", config.listen))?;
         let (fleet, configuration, name) = (None, None, config.name);
@@ -199,7 +199,7 @@
         let (mut fleet, seen) = opened.map_err(|error| format!("fleet.listen: cannot use {at}: {error}"))?;
         self.distribute(&mut fleet);
         self.fleet = Some((fleet.on(disks), seen));
-        self.driver.expect_fleet();
+        self.driver.set_in_fleet();
         Ok(())
     }
 
@@ -215,7 +215,7 @@
     /// Lets revisions of a versioned configuration come into force while the node runs. What brings them hands them to
     /// the applier; operators publish through `publisher`.
     fn configure(&mut self, applier: Arc<Applier>, publisher: Arc<dyn Publisher>) {
-        self.front.expect_tenants();
+        self.front.accept_new_tenants();
         self.configuration = Some(Arc::new(ConfigurationCalls::new(applier, publisher)));
     }
 
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/metrics.rs
@@ -10,7 +10,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// Served whole.
     Completed,
     /// Refused: trying again does no harm.
@@ -18,15 +18,15 @@
     /// Failed.
     Failed,
     /// Its client did not wait for the answer.
-    Left,
+    ClientLeft,
 }
 
 const ENDS: usize = 4;
 
 #[derive(Clone, Debug, Default)]
-struct OfClass {
+struct ClassCounts {
     name: String,
-    taken: u64,
+    received: u64,
     ended: [u64; ENDS],
 }
 
@@ -34,80 +34,80 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// Requests taken.
-    pub taken: u64,
+    pub received: u64,
     /// Those that ended, by [`End`].
     pub ended: [u64; ENDS],
 }
 
 impl Totals {
     /// Of one end.
-    pub fn of(&self, end: End) -> u64 {
+    pub fn ended_as(&self, end: RequestEnd) -> u64 {
         self.ended[end as usize]
     }
 
     /// What was added since an earlier look.
     pub fn since(&self, earlier: &Totals) -> Totals {
         let ended = std::array::from_fn(|n| self.ended[n] - earlier.ended[n]);
-        Totals { taken: self.taken - earlier.taken, ended }
+        Totals { received: self.received - earlier.received, ended }
     }
 }
 
 /// Counts attempts whose last byte was handed to their connection.
 #[derive(Clone, Debug, Default)]
-pub struct Written(Arc<AtomicU64>);
+pub struct AttemptCounter(Arc<AtomicU64>);
 
-impl Written {
+impl AttemptCounter {
     /// One more.
-    pub fn add(&self) {
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
     /// One less: its connection had ended, and nothing was written.
-    pub fn take_back(&self) {
+    pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// The counts since the process started.
 #[derive(Debug, Default)]
-pub struct Figures {
-    classes: Vec<OfClass>,
-    written: Written,
+pub struct Metrics {
+    classes: Vec<ClassCounts>,
+    sent_attempts: AttemptCounter,
 }
 
-impl Figures {
+impl Metrics {
     /// All at 0, with each class in its place.
     pub fn new(classes: &Numbering) -> Self {
-        let of = |name: &str| OfClass { name: name.to_owned(), ..OfClass::default() };
-        Figures { classes: classes.names().map(of).collect(), written: Written::default() }
+        let of = |name: &str| ClassCounts { name: name.to_owned(), ..ClassCounts::default() };
+        Metrics { classes: classes.names().map(of).collect(), sent_attempts: AttemptCounter::default() }
     }
 
     /// What attempts report to.
-    pub fn written(&self) -> Written {
-        self.written.clone()
+    pub fn sent_attempts(&self) -> AttemptCounter {
+        self.sent_attempts.clone()
     }
 
     /// A request has been taken.
-    pub fn taken(&mut self, class: usize) {
-        self.classes[class].taken += 1;
+    pub fn request_received(&mut self, class: usize) {
+        self.classes[class].received += 1;
     }
 
     /// It has ended.
-    pub fn ended(&mut self, class: usize, end: End) {
+    pub fn request_ended(&mut self, class: usize, end: RequestEnd) {
         self.classes[class].ended[end as usize] += 1;
     }
 
     /// Over all classes.
     pub fn totals(&self) -> Totals {
         self.classes.iter().fold(Totals::default(), |sum, class| Totals {
-            taken: sum.taken + class.taken,
+            received: sum.received + class.received,
             ended: std::array::from_fn(|n| sum.ended[n] + class.ended[n]),
         })
     }
 
     /// Requests taken that have not ended.
     pub fn pending(&self) -> u64 {
-        let Totals { taken, ended } = self.totals();
+        let Totals { received: taken, ended } = self.totals();
         taken - ended.iter().sum::<u64>()
     }
 
@@ -118,13 +118,15 @@
             let _ = writeln!(text, "edge_balancer.{name}={value}"); // writing to a string cannot fail
         };
         for class in &self.classes {
-            for (name, end) in
-                [("completed", End::Completed), ("rejected", End::Rejected), ("failed", End::Failed)]
-            {
+            for (name, end) in [
+                ("completed", RequestEnd::Completed),
+                ("rejected", RequestEnd::Rejected),
+                ("failed", RequestEnd::Failed),
+            ] {
                 line(&format!("downstream_requests.{}.{name}", class.name), class.ended[end as usize]);
             }
         }
-        line("upstream_requests", self.written.0.load(Ordering::Relaxed));
+        line("upstream_requests", self.sent_attempts.0.load(Ordering::Relaxed));
         line("pending", self.pending());
         line("members", members as u64);
         line("members_unavailable", unavailable as u64);
@@ -133,7 +135,7 @@
 }
 
 /// What operators read of the fleet, in the same form.
-pub fn of_fleet(fleet: &Snapshot) -> String {
+pub fn fleet_text(fleet: &Snapshot) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: u64| {
         let _ = writeln!(text, "edge_balancer.fleet_{name}={value}"); // writing to a string cannot fail
@@ -157,7 +159,7 @@
         let mut names = Numbering::default();
         names.number("read");
         names.number("write");
-        let mut figures = Figures::new(&names);
+        let mut figures = Metrics::new(&names);
         assert_eq!(
             figures.text(2, 1),
             "edge_balancer.downstream_requests.read.completed=0\n\
@@ -172,11 +174,11 @@
              edge_balancer.members_unavailable=1\n"
         );
         for _ in 0..3 {
-            figures.taken(1);
+            figures.request_received(1);
         }
-        figures.ended(1, End::Rejected);
-        figures.ended(1, End::Left);
-        figures.written().add();
+        figures.request_ended(1, RequestEnd::Rejected);
+        figures.request_ended(1, RequestEnd::ClientLeft);
+        figures.sent_attempts().increment();
         let text = figures.text(0, 0);
         for line in ["downstream_requests.write.rejected=1", "pending=1", "upstream_requests=1"] {
             assert!(text.contains(&format!("edge_balancer.{line}\n")), "{line} is not in {text}");
--- a/crates/node/src/head.rs
+++ b/crates/node/src/request_head.rs
@@ -8,7 +8,7 @@
 
 /// What a client asks for, in its own words. Values that cannot be read count as absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asked<'a> {
+pub struct RequestHead<'a> {
     /// Name of the class: from its header, else the first part of the path.
     pub class: Option<&'a str>,
     /// It bears an id of the protocol's form.
@@ -25,29 +25,29 @@
     pub repeat: bool,
 }
 
-impl<'a> Asked<'a> {
+impl<'a> RequestHead<'a> {
     /// Reads a head.
     pub fn read(uri: &'a Uri, headers: &'a HeaderMap) -> Self {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let number = |name: &str| text(name).and_then(|value| value.parse::<u64>().ok());
-        Asked {
+        RequestHead {
             class: text("x-lane").or_else(|| uri.path().split('/').nth(1)),
-            has_id: text("x-txn").is_some_and(is_id),
+            has_id: text("x-txn").is_some_and(is_transaction_id),
             remaining: number("x-remaining-ms").map(|ms| ms.saturating_mul(1_000_000)),
             tenant: text("x-org"),
-            key: uri.query().and_then(key),
+            key: uri.query().and_then(session_key),
             cost_hint: number("x-estimate").map(|us| us.saturating_mul(1_000)),
             repeat: text("x-resent") == Some("1"),
         }
     }
 }
 
-fn is_id(text: &str) -> bool {
+fn is_transaction_id(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b))
 }
 
 /// A number for what the query says that a request is about.
-fn key(query: &str) -> Option<u64> {
+fn session_key(query: &str) -> Option<u64> {
     let text = query.split('&').find_map(|pair| pair.strip_prefix("sid="))?;
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(text.as_bytes());
@@ -75,7 +75,7 @@
                 }
             }
             let Ok(uri) = path.parse::<Uri>() else { return Ok(()) };
-            let asked = Asked::read(&uri, &headers);
+            let asked = RequestHead::read(&uri, &headers);
             if asked.remaining.is_some() {
                 let text = headers["x-remaining-ms"].to_str().unwrap();
                 prop_assert!(text.trim_start_matches('+').bytes().all(|b| b.is_ascii_digit()), "{text}");
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -12,18 +12,18 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::line::Line;
+use crate::connection_timeouts::ConnectionTimeouts;
 
 /// One of several holders; the stream closes with the last.
 ///
 /// Reads and writes go on until the kernel says that nothing more moves for now. The runtime's own stream takes a read or
 /// write that moved less than it might for a sign of that, and would wait for ever where such a call was merely short.
-pub struct Shared(pub Arc<TcpStream>);
+pub struct SharedStream(pub Arc<TcpStream>);
 
-impl Shared {
+impl SharedStream {
     /// The only holder.
     pub fn new(stream: TcpStream) -> Self {
-        Shared(Arc::new(stream))
+        SharedStream(Arc::new(stream))
     }
 }
 
@@ -32,7 +32,7 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -44,7 +44,7 @@
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
@@ -81,50 +81,50 @@
 }
 
 /// Tells a connection's [`Line`] what moves on its stream.
-pub struct Heard<S> {
+pub struct MonitoredStream<S> {
     stream: S,
-    line: Arc<Line>,
-    origin: Instant,
+    timeouts: Arc<ConnectionTimeouts>,
+    accepted_at: Instant,
 }
 
-impl<S> Heard<S> {
+impl<S> MonitoredStream<S> {
     /// `origin` is when the connection was accepted.
-    pub fn new(stream: S, line: Arc<Line>, origin: Instant) -> Self {
-        Heard { stream, line, origin }
+    pub fn new(stream: S, line: Arc<ConnectionTimeouts>, origin: Instant) -> Self {
+        MonitoredStream { stream, timeouts: line, accepted_at: origin }
     }
 
     fn now(&self) -> Nanos {
-        self.origin.elapsed().as_nanos() as Nanos
+        self.accepted_at.elapsed().as_nanos() as Nanos
     }
 
-    fn note(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        self.line.wrote(self.now(), written.is_ready());
+    fn record_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        self.timeouts.write_attempted(self.now(), written.is_ready());
         written
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Heard<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for MonitoredStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if buffer.filled().len() > before {
-            self.line.heard(self.now());
+            self.timeouts.bytes_received(self.now());
         }
         read
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Heard<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for MonitoredStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.note(written)
+        self.record_write(written)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>, cx: &mut Context, slices: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
-        self.note(written)
+        self.record_write(written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-pub(super) const MAX_BUFFER: usize = 16 << 10; // bytes buffered of an answer: all connections together must fit in memory
+pub(super) const MAX_BUFFER_BYTES: usize = 16 << 10; // bytes buffered of an answer: all connections together must fit in memory
 
 /// A connection that is not in use, or whose attempt is out; closed when it is dropped.
 pub struct Connection {
-    pub(super) sender: SendRequest<Sending>,
+    pub(super) sender: SendRequest<AttemptBody>,
     pub(super) stream: Arc<TcpStream>,
-    pub(super) to: SocketAddr,
+    pub(super) address: SocketAddr,
     _task: AbortOnDrop,
     pub(super) slot: OwnedSemaphorePermit,
 }
@@ -26,14 +26,17 @@
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
         let stream = Arc::new(stream);
-        let io = TokioIo::new(Shared(stream.clone()));
-        let (sender, connection) =
-            http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(io).await.map_err(io::Error::other)?;
+        let io = TokioIo::new(SharedStream(stream.clone()));
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(io)
+            .await
+            .map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
             // How it ends shows at the attempt on it.
             let _ = connection.await;
         });
-        Ok(Connection { sender, stream, to, _task: AbortOnDrop(task.abort_handle()), slot })
+        Ok(Connection { sender, stream, address: to, _task: AbortOnDrop(task.abort_handle()), slot })
     }
 
     /// Whether it is known to have ended.
@@ -42,7 +45,7 @@
     }
 
     /// Whether it is open and silent, asking the socket itself: an end may not have been noticed yet.
-    pub(super) fn is_fresh(&self) -> bool {
+    pub(super) fn is_reusable(&self) -> bool {
         let silent = || {
             let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
             peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
@@ -52,4 +55,4 @@
 }
 
 /// A connection that is coming up.
-pub type Opening = Pin<Box<dyn Future<Output = io::Result<Connection>> + Send>>;
+pub type PendingConnection = Pin<Box<dyn Future<Output = io::Result<Connection>> + Send>>;
--- a/crates/node/src/upstream/relay.rs
+++ b/crates/node/src/upstream/relay.rs
@@ -8,45 +8,52 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 
 use super::Connection;
-use crate::body::{Gathered, Share};
-use crate::figures::End;
+use crate::body::{BodyPrefix, BufferReservation};
+use crate::metrics::RequestEnd;
 
 /// Takes how a long answer has ended, with its connection where that may serve another request.
-type EndReport = Box<dyn FnOnce(End, Option<Connection>) + Send>;
+type EndCallback = Box<dyn FnOnce(RequestEnd, Option<Connection>) + Send>;
 
 /// A long answer on its way to a client. However it ends, whoever asked for that is told.
 pub struct Relay {
-    held: VecDeque<Bytes>,
-    share: Share,
+    buffered: VecDeque<Bytes>,
+    reservation: BufferReservation,
     rest: Incoming,
-    left: Option<u64>, // bytes that are still to go, where the length was told
+    bytes_left: Option<u64>, // bytes that are still to go, where the length was told
     connection: Option<Connection>,
-    report: Option<EndReport>,
+    end_callback: Option<EndCallback>,
 }
 
 impl std::fmt::Debug for Relay {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Relay").field("left", &self.left).finish_non_exhaustive()
+        f.debug_struct("Relay").field("left", &self.bytes_left).finish_non_exhaustive()
     }
 }
 
 impl Relay {
     /// What was gathered of the answer, and the rest, with the connection on which it comes.
-    pub fn new(gathered: Gathered, rest: Incoming, connection: Connection) -> Self {
-        let left = rest.size_hint().exact().map(|rest| rest + gathered.held.len() as u64);
-        let Gathered { held, share, .. } = gathered;
+    pub fn new(gathered: BodyPrefix, rest: Incoming, connection: Connection) -> Self {
+        let left = rest.size_hint().exact().map(|rest| rest + gathered.bytes.len() as u64);
+        let BodyPrefix { bytes: held, reservation: share, .. } = gathered;
         let held = VecDeque::from_iter(Some(held).filter(|held| !held.is_empty()));
-        Relay { held, share, rest, left, connection: Some(connection), report: None }
+        Relay {
+            buffered: held,
+            reservation: share,
+            rest,
+            bytes_left: left,
+            connection: Some(connection),
+            end_callback: None,
+        }
     }
 
     /// Calls `report` once when it has ended.
-    pub fn on_end(&mut self, report: impl FnOnce(End, Option<Connection>) + Send + 'static) {
-        self.report = Some(Box::new(report));
+    pub fn on_end(&mut self, report: impl FnOnce(RequestEnd, Option<Connection>) + Send + 'static) {
+        self.end_callback = Some(Box::new(report));
     }
 
-    fn end(&mut self, end: End) {
-        let connection = self.connection.take().filter(|_| end == End::Completed);
-        if let Some(report) = self.report.take() {
+    fn end(&mut self, end: RequestEnd) {
+        let connection = self.connection.take().filter(|_| end == RequestEnd::Completed);
+        if let Some(report) = self.end_callback.take() {
             report(end, connection);
         }
     }
@@ -59,41 +66,41 @@
     fn poll_frame(
         mut self: Pin<&mut Self>, cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        let data = match self.held.pop_front() {
+        let data = match self.buffered.pop_front() {
             Some(held) => held,
             None => {
-                self.share = None;
+                self.reservation = None;
                 match ready!(Pin::new(&mut self.rest).poll_frame(cx)) {
                     None => {
-                        self.end(End::Completed);
+                        self.end(RequestEnd::Completed);
                         return Poll::Ready(None);
                     }
                     Some(Err(error)) => {
-                        self.end(End::Failed);
+                        self.end(RequestEnd::Failed);
                         return Poll::Ready(Some(Err(error)));
                     }
                     Some(Ok(frame)) => frame.into_data().unwrap_or_default(), // trailers are the hop's own
                 }
             }
         };
-        self.left = self.left.map(|left| left.saturating_sub(data.len() as u64));
+        self.bytes_left = self.bytes_left.map(|left| left.saturating_sub(data.len() as u64));
         if self.is_end_stream() {
-            self.end(End::Completed);
+            self.end(RequestEnd::Completed);
         }
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.held.is_empty() && (self.left == Some(0) || self.rest.is_end_stream())
+        self.buffered.is_empty() && (self.bytes_left == Some(0) || self.rest.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.bytes_left.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.end(End::Left); // nobody wants the rest; after an end it changes nothing
+        self.end(RequestEnd::ClientLeft); // nobody wants the rest; after an end it changes nothing
     }
 }
--- a/crates/node/src/upstream/outgoing.rs
+++ b/crates/node/src/upstream/request.rs
@@ -3,25 +3,25 @@
 use super::*;
 
 /// A client's request as it goes on to servers.
-pub struct Outgoing {
+pub struct UpstreamRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: Payload,
+    pub body: RequestBody,
     /// Its client has left or has its answer: what is not yet written must not be. Set by whoever sees it first, so
     /// that no queue stands between a client that leaves and an attempt that is about to begin.
-    pub over: CancellationToken,
+    pub cancellation: CancellationToken,
 }
 
 /// The body of a client's request.
-pub enum Payload {
+pub enum RequestBody {
     /// All of it, for as many attempts as are made.
-    Held(Held),
+    Buffered(BufferedBody),
     /// It passes through.
-    Long(Arc<Upload>),
+    Streamed(Arc<Upload>),
 }
 
-pub(super) const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
+pub(super) const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
 
 pub(super) const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
@@ -35,8 +35,8 @@
     header::CONTENT_LENGTH, // framing is stated anew
 ];
 
-impl Outgoing {
-    pub fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: Payload) -> Self {
+impl UpstreamRequest {
+    pub fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: RequestBody) -> Self {
         let listed: Vec<HeaderName> = headers
             .get_all(header::CONNECTION)
             .iter()
@@ -49,7 +49,7 @@
         for name in HOP_BY_HOP.iter().chain(listed.iter().filter(|name| !kept(name))) {
             headers.remove(name);
         }
-        Outgoing { method, uri, headers, body, over: CancellationToken::new() }
+        UpstreamRequest { method, uri, headers, body, cancellation: CancellationToken::new() }
     }
 
     /// What its client calls it, for the log.
@@ -60,15 +60,17 @@
     /// The long body, where it has one.
     pub fn upload(&self) -> Option<&Arc<Upload>> {
         match &self.body {
-            Payload::Held(_) => None,
-            Payload::Long(upload) => Some(upload),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(upload) => Some(upload),
         }
     }
 
-    pub(super) fn request(&self, to: SocketAddr, wait: Duration) -> Request<Sending> {
+    pub(super) fn build(&self, to: SocketAddr, wait: Duration) -> Request<AttemptBody> {
         let mut request = Request::new(match &self.body {
-            Payload::Held(body) => Sending::Held(Some(body.bytes.clone()).filter(|body| !body.is_empty())),
-            Payload::Long(upload) => Sending::long(upload.clone()),
+            RequestBody::Buffered(body) => {
+                AttemptBody::Buffered(Some(body.bytes.clone()).filter(|body| !body.is_empty()))
+            }
+            RequestBody::Streamed(upload) => AttemptBody::streamed(upload.clone()),
         });
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -77,7 +79,7 @@
         if !headers.contains_key(header::HOST) {
             headers.insert(header::HOST, HeaderValue::try_from(to.to_string()).expect("an address is plain"));
         }
-        headers.insert(REMAINING, (wait.as_millis() as u64).into());
+        headers.insert(REMAINING_MS, (wait.as_millis() as u64).into());
         request
     }
 }
--- a/crates/node/src/upstream/server.rs
+++ b/crates/node/src/upstream/server.rs
@@ -15,17 +15,17 @@
 
     /// Notes whether it takes work; what was told first sets the grace.
     pub fn set_ready(&self, ready: bool, now: Nanos, grace: Nanos) {
-        let ends = now.saturating_add(grace.saturating_sub(2 * MAX_HOLD_UP));
+        let ends = now.saturating_add(grace.saturating_sub(2 * MAX_PROCESSING_DELAY));
         let ends = if ready { NEVER } else { ends.min(self.no_sends_from.load(Ordering::Relaxed)) };
         self.no_sends_from.store(ends, Ordering::Relaxed);
     }
 
     /// Whether it is within what it was told, or its grace.
-    pub fn takes_sends(&self, now: Nanos) -> bool {
+    pub fn accepts_sends(&self, now: Nanos) -> bool {
         now < self.no_sends_from.load(Ordering::Relaxed)
     }
 }
 
 /// For which a node may be held up between what it hears or reads from its clock and what it does about it: once before
 /// the notice is taken in, and once between the last look at the clock and the write.
-pub(super) const MAX_HOLD_UP: Nanos = 150_000_000;
+pub(super) const MAX_PROCESSING_DELAY: Nanos = 150_000_000;
--- a/crates/node/tests/unit/capacity.rs
+++ b/crates/node/tests/unit/capacity.rs
@@ -8,26 +8,26 @@
     fn two_processes_hold_no_more_than_the_limit(
         sockets in 192usize..100_000, memory in 0usize..1 << 40, over in 0.0..1.0f64
     ) {
-        let (alone, half) = (Shares::of(sockets, memory, false), Shares::of(sockets, memory, true));
-        let all = |s: Shares| s.clients + s.servers + OTHERS;
-        prop_assert!(all(alone) + BESIDE <= sockets);
+        let (alone, half) = (Allocation::new(sockets, memory, false), Allocation::new(sockets, memory, true));
+        let all = |s: Allocation| s.clients + s.servers + RESERVED_DESCRIPTORS;
+        prop_assert!(all(alone) + SUCCESSOR_STARTUP_DESCRIPTORS <= sockets);
         prop_assert!(2 * all(half) <= sockets);
         prop_assert!(alone.clients * 3 <= sockets && half.clients * 6 <= sockets);
-        prop_assert!(half.servers >= MIN_SERVER_CONNECTIONS && 4 * alone.bodies * UNIT <= memory);
+        prop_assert!(half.servers >= MIN_SERVER_CONNECTIONS && 4 * alone.bodies * BODY_UNIT_BYTES <= memory);
         // On its way from all to half, with so much still held.
         let still = |half: usize, all: usize| half + ((all - half) as f64 * over) as usize;
-        let kept = Shares {
+        let kept = Allocation {
             clients: still(half.clients, alone.clients),
             servers: still(half.servers, alone.servers),
             bodies: still(half.bodies, alone.bodies),
         };
         let capacity = Capacity::new(sockets, memory, true);
-        let whole = capacity.fit(kept);
-        let new = capacity.kept();
+        let whole = capacity.fit_beside(kept);
+        let new = capacity.allocation();
         // Until then it has not more than the few connections that its start leaves room for.
         prop_assert!(kept.clients + new.clients <= alone.clients && kept.bodies + new.bodies <= alone.bodies);
         let few = new.servers <= MIN_SERVER_CONNECTIONS;
-        prop_assert!(few || kept.servers + new.servers + 2 * OTHERS + kept.clients + new.clients <= sockets);
+        prop_assert!(few || kept.servers + new.servers + 2 * RESERVED_DESCRIPTORS + kept.clients + new.clients <= sockets);
         prop_assert!(!whole || new == half);
         prop_assert!(kept != half || whole);
     }
@@ -41,9 +41,9 @@
         for (what, n) in steps {
             match what {
                 0 => {
-                    let before = slots.held();
-                    if let Some(slot) = slots.try_take(1) {
-                        prop_assert!(before < slots.most());
+                    let before = slots.in_use();
+                    if let Some(slot) = slots.try_acquire(1) {
+                        prop_assert!(before < slots.total());
                         held.push(slot);
                     }
                 }
@@ -54,12 +54,12 @@
                 }
                 _ => {}
             }
-            let settled = slots.settle();
+            let settled = slots.reclaim();
             prop_assert_eq!(settled, held.len() <= target);
-            prop_assert_eq!(slots.held(), held.len());
-            prop_assert_eq!(slots.most(), held.len().max(target));
+            prop_assert_eq!(slots.in_use(), held.len());
+            prop_assert_eq!(slots.total(), held.len().max(target));
         }
         held.clear();
-        prop_assert!(slots.settle() && slots.free() == target);
+        prop_assert!(slots.reclaim() && slots.free() == target);
     }
 }
--- a/crates/node/tests/unit/configuration.rs
+++ b/crates/node/tests/unit/configuration.rs
@@ -192,10 +192,10 @@
         let applier = applier.clone();
         tokio::task::spawn_blocking(move || applier.apply(id(1, 1), &document().encode()))
     };
-    let Some(Input::Configuration { change, taken }) = inputs.recv().await else { panic!("no change") };
+    let Some(Input::Configuration { change, applied }) = inputs.recv().await else { panic!("no change") };
     assert_eq!(change.open_requests, 50);
     assert_eq!(applier.shown().revision, 0);
-    taken.send(()).unwrap();
+    applied.send(()).unwrap();
     applying.await.unwrap().unwrap();
     let shown = applier.shown();
     assert_eq!((shown.revision, shown.epoch, shown.digest), (1, 1, document().digest()));
@@ -252,8 +252,8 @@
             std::thread::spawn(move || applier.apply(id, &document.encode()))
         };
         while !applying.is_finished() {
-            if let Ok(Input::Configuration { taken, .. }) = inputs.try_recv() {
-                taken.send(()).unwrap();
+            if let Ok(Input::Configuration { applied, .. }) = inputs.try_recv() {
+                applied.send(()).unwrap();
             }
             std::thread::yield_now();
         }
--- a/crates/node/tests/unit/console_configuration.rs
+++ b/crates/node/tests/unit/console_configuration.rs
@@ -68,7 +68,7 @@
         // In place of the driver.
         tokio::spawn(async move {
             while let Some(input) = taken_in.recv().await {
-                if let Input::Configuration { taken, .. } = input {
+                if let Input::Configuration { applied: taken, .. } = input {
                     taken.send(()).unwrap();
                 }
             }
--- a/crates/node/tests/unit/driver.rs
+++ b/crates/node/tests/unit/driver.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::body::Held;
-use crate::upstream::Payload;
+use crate::body::BufferedBody;
+use crate::upstream::RequestBody;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use merlinfold_settings::Env;
@@ -35,10 +35,10 @@
     let at = "127.0.0.1:1".parse().unwrap();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let now = driver.clock.now();
-    let since = driver.entry(&list("s", at, unix - 2_000).endpoints[0], now, None).since;
+    let since = driver.server_entry(&list("s", at, unix - 2_000).endpoints[0], now, None).since;
     let age = driver.clock.now() - since;
     assert!((1_999_000_000..60_000_000_000).contains(&age), "{age} ns old instead of 2 s");
-    assert_eq!(driver.entry(&list("s", at, 0).endpoints[0], now, None).since, 0);
+    assert_eq!(driver.server_entry(&list("s", at, 0).endpoints[0], now, None).since, 0);
 }
 
 /// Guards drains: a request is decided on with the list that came in with it, though read before it.
@@ -47,23 +47,23 @@
     let (old, new) =
         (TcpListener::bind("127.0.0.1:0").await.unwrap(), TcpListener::bind("127.0.0.1:0").await.unwrap());
     let (mut driver, inputs) = driver();
-    driver.known(list("old", old.local_addr().unwrap(), 0), false);
-    let outgoing = Outgoing::new(
+    driver.load_known_list(list("old", old.local_addr().unwrap(), 0), false);
+    let outgoing = UpstreamRequest::new(
         Method::GET,
         Uri::from_static("/"),
         HeaderMap::new(),
-        Payload::Held(Held::small(Bytes::new())),
+        RequestBody::Buffered(BufferedBody::small(Bytes::new())),
     );
     let (client, _reply) = oneshot::channel();
     let expires = driver.clock.now() + 5_000_000_000;
-    let request = Arrival {
+    let request = ClientRequest {
         id: RequestId(1),
         class: 0,
         tenant: None,
         key: None,
         cost_hint: None,
         repeat: false,
-        expires,
+        client_deadline: expires,
         outgoing: Arc::new(outgoing),
         client,
     };
@@ -86,10 +86,10 @@
     let at = "127.0.0.1:1".parse().unwrap();
     let hour_ago = (driver.clock.now() / MILLISECOND) - 3_600_000;
     let partial = |name, since| List { snapshot: false, ..list(name, at, since) };
-    driver.known(list("known", at, 0), false);
-    driver.list(ListKind::Partial, partial("first", hour_ago));
-    assert_eq!(driver.starts.local(1, hour_ago * MILLISECOND, 0, None), hour_ago * MILLISECOND);
-    let heard = driver.list_heard.expect("discovery has answered");
-    driver.list(ListKind::Partial, partial("second", hour_ago));
-    assert_eq!(driver.starts.local(2, hour_ago * MILLISECOND, 0, None), heard);
+    driver.load_known_list(list("known", at, 0), false);
+    driver.apply_list(ListKind::Partial, partial("first", hour_ago));
+    assert_eq!(driver.start_times.local(1, hour_ago * MILLISECOND, 0, None), hour_ago * MILLISECOND);
+    let heard = driver.list_received_at.expect("discovery has answered");
+    driver.apply_list(ListKind::Partial, partial("second", hour_ago));
+    assert_eq!(driver.start_times.local(2, hour_ago * MILLISECOND, 0, None), heard);
 }
--- a/crates/node/tests/unit/front.rs
+++ b/crates/node/tests/unit/front.rs
@@ -1,4 +1,4 @@
-use super::connection::MAX_HEAD;
+use super::connection::MAX_BUFFER_BYTES;
 use super::*;
 use crate::lifecycle::Life;
 use merlinfold_decide::interface::{Class, Effect, Placement};
@@ -28,19 +28,19 @@
         posture,
     ));
     let (_close, closing) = watch::channel(false);
-    let slot = front.capacity.clients.take().await;
+    let slot = front.capacity.clients.acquire().await;
     let (mut peer, stream) = tokio::io::duplex(1 << 20);
     let begun = Instant::now();
     let serving = front.clone();
     let connection = tokio::spawn(async move {
-        serving.connection(stream, None, closing).await;
+        serving.serve_connection(stream, None, closing).await;
         drop(slot);
     });
     peer.write_all(text.as_bytes()).await.unwrap();
     let mut answer = String::new();
     let _ = peer.read_to_string(&mut answer).await;
     connection.await.unwrap();
-    assert_eq!(front.capacity.clients.held(), 0, "the slot is free again");
+    assert_eq!(front.capacity.clients.in_use(), 0, "the slot is free again");
     (answer, begun.elapsed())
 }
 
@@ -55,7 +55,7 @@
         (format!("{head}Content-Length: 5\r\n\r\npin"), "HTTP/1.1 408"),
         ("GET /read HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(), "HTTP/1.1 400"),
         ("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(), "HTTP/1.1 404"),
-        (format!("{head}X-Fill: {}", "x".repeat(2 * MAX_HEAD)), "HTTP/1.1 431"),
+        (format!("{head}X-Fill: {}", "x".repeat(2 * MAX_BUFFER_BYTES)), "HTTP/1.1 431"),
     ];
     for (text, answer) in cases {
         let (got, after) = sent(&text).await;
--- a/crates/node/tests/unit/handover.rs
+++ b/crates/node/tests/unit/handover.rs
@@ -79,7 +79,7 @@
     let folder = Folder::new("room");
     let mut old = open(&folder.0, "n0");
     let new = open(&folder.0, "n0");
-    let kept = |clients| Shares { clients, servers: 7, bodies: 9 };
+    let kept = |clients| Allocation { clients, servers: 7, bodies: 9 };
     assert!(old.has_place() && new.has_place() && new.kept().is_none());
     old.keep(kept(5)).unwrap();
     assert_eq!(new.kept(), Some(kept(5)));
--- a/crates/node/tests/unit/reconfigured.rs
+++ b/crates/node/tests/unit/reconfigured.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::body::Held;
+use crate::body::BufferedBody;
 use crate::configuration::{ActiveRevision, Baseline, NamedTenant, RevisionId};
-use crate::upstream::Payload;
+use crate::upstream::RequestBody;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use merlinfold_revision::{ClassProperties, Document, Limit, Tenant, Unit};
@@ -42,21 +42,21 @@
     let prepared = active.prepare(id, &document(number).encode()).unwrap();
     let change = Box::new(prepared.change());
     active.commit(prepared);
-    Input::Configuration { change, taken: oneshot::channel().0 }
+    Input::Configuration { change, applied: oneshot::channel().0 }
 }
 
 fn request(driver: &Driver, id: u64, tenant: &str) -> (Input, oneshot::Receiver<Reply>) {
-    let body = Payload::Held(Held::small(Bytes::new()));
-    let outgoing = Outgoing::new(Method::GET, Uri::from_static("/"), HeaderMap::new(), body);
+    let body = RequestBody::Buffered(BufferedBody::small(Bytes::new()));
+    let outgoing = UpstreamRequest::new(Method::GET, Uri::from_static("/"), HeaderMap::new(), body);
     let (client, reply) = oneshot::channel();
-    let arrival = Arrival {
+    let arrival = ClientRequest {
         id: RequestId(id),
         class: 0,
         tenant: Some(NamedTenant::Other(tenant.into())),
         key: None,
         cost_hint: None,
         repeat: false,
-        expires: driver.clock.now() + 5_000_000_000,
+        client_deadline: driver.clock.now() + 5_000_000_000,
         outgoing: Arc::new(outgoing),
         client,
     };
@@ -74,10 +74,10 @@
             if changes {
                 number += 1;
                 let input = configuration(&mut active, number);
-                driver.take(input);
+                driver.handle_input(input);
             } else {
                 let (input, _reply) = request(&driver, n as u64, "tenant-1");
-                driver.take(input);
+                driver.handle_input(input);
             }
             if number == 0 {
                 continue;
@@ -100,13 +100,13 @@
     let (first, _first_reply) = request(&driver, 1, "nobody");
     let (second, _second_reply) = request(&driver, 2, "nobody");
     let (third, mut third_reply) = request(&driver, 3, "nobody");
-    driver.take(first);
-    driver.take(second);
+    driver.handle_input(first);
+    driver.handle_input(second);
     let limited = configuration(&mut active, 1);
-    driver.take(limited);
-    driver.take(third);
+    driver.handle_input(limited);
+    driver.handle_input(third);
     assert!(matches!(third_reply.try_recv(), Ok(Reply::Refused { .. })));
-    assert!(driver.table.contains_key(&RequestId(1)) && driver.table.contains_key(&RequestId(2)));
+    assert!(driver.requests.contains_key(&RequestId(1)) && driver.requests.contains_key(&RequestId(2)));
 }
 
 /// The same of the module: a client's repeat that has no time left of its aim is turned away at once, and the revision
@@ -118,18 +118,18 @@
         let (input, reply) = request(driver, id, "nobody");
         let Input::Request(arrival) = input else { panic!("it is one") };
         let expires = driver.clock.now() + 3_000_000_000;
-        (Input::Request(Arrival { repeat: true, expires, ..arrival }), reply)
+        (Input::Request(ClientRequest { repeat: true, client_deadline: expires, ..arrival }), reply)
     };
     let (before, mut before_reply) = repeat(&driver, 1);
-    driver.take(before);
+    driver.handle_input(before);
     let mut one = document(1);
     one.limits.clear();
     let prepared = active.prepare(RevisionId { epoch: 1, number: 1 }, &one.encode()).unwrap();
     let change = Box::new(prepared.change());
     active.commit(prepared);
-    driver.take(Input::Configuration { change, taken: oneshot::channel().0 });
+    driver.handle_input(Input::Configuration { change, applied: oneshot::channel().0 });
     let (after, mut after_reply) = repeat(&driver, 2);
-    driver.take(after);
+    driver.handle_input(after);
     assert!(matches!(after_reply.try_recv(), Ok(Reply::Refused { .. })));
     assert!(before_reply.try_recv().is_err(), "it waits, as it came under the aim of 4 s");
 }
@@ -140,6 +140,6 @@
     let Input::Configuration { change, .. } = configuration(&mut active, 1) else { panic!("it is one") };
     let (taken, mut is_taken) = oneshot::channel();
     assert!(is_taken.try_recv().is_err());
-    driver.take(Input::Configuration { change, taken });
+    driver.handle_input(Input::Configuration { change, applied: taken });
     assert!(is_taken.try_recv().is_ok());
 }
--- a/crates/node/tests/unit/upstream.rs
+++ b/crates/node/tests/unit/upstream.rs
@@ -3,23 +3,23 @@
 
 /// An attempt at this server, with 5 s for everything.
 fn attempt(server: Arc<Server>, clock: Clock) -> Attempt {
-    let request = Outgoing::new(
+    let request = UpstreamRequest::new(
         Method::GET,
         Uri::from_static("/"),
         HeaderMap::new(),
-        Payload::Held(Held::small(Bytes::new())),
+        RequestBody::Buffered(BufferedBody::small(Bytes::new())),
     );
     Attempt {
         server,
         request: Arc::new(request),
         started: clock.now(),
-        begin_by: NEVER,
-        budget: Budget(Slots::new(64)),
-        patience: 5_000_000_000,
+        write_by: NEVER,
+        buffer_budget: BufferBudget(Slots::new(64)),
+        response_timeout: 5_000_000_000,
         deadline: clock.now() + 5_000_000_000,
         connect_timeout: 5_000_000_000,
         clock,
-        written: Written::default(),
+        sent_attempts: AttemptCounter::default(),
     }
 }
 
@@ -49,8 +49,8 @@
         let mut pool = Pool::new(slots.clone(), limits, clock);
         let run = attempt(Arc::new(Server::new(address)), clock);
         let run = Attempt { connect_timeout: if leaves { 5_000_000_000 } else { 1_000_000 }, ..run };
-        let over = run.request.over.clone();
-        let running = tokio::spawn(run.run(pool.way(ServerId(0), address).expect("a free slot")));
+        let over = run.request.cancellation.clone();
+        let running = tokio::spawn(run.run(pool.acquire(ServerId(0), address).expect("a free slot")));
         if leaves {
             tokio::task::yield_now().await; // it connects
             over.cancel();
@@ -58,18 +58,20 @@
         let ended = running.await.unwrap();
         assert_eq!(ended.status, if leaves { Status::Moot } else { Status::ConnectFailed });
         let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
-        pool.await_late(ended.opening.expect("it goes on"), move |connection| drop(tell.send(connection)));
+        pool.await_pending(ended.pending_connection.expect("it goes on"), move |connection| {
+            drop(tell.send(connection))
+        });
         listener.accept().await.unwrap(); // the filler: now there is room
         let accepted = listener.accept();
         let connection = told.recv().await.expect("it came to nothing");
         let (mut stream, _) = accepted.await.unwrap();
-        assert_eq!(slots.held(), 1);
+        assert_eq!(slots.in_use(), 1);
         pool.put(ServerId(0), connection);
-        let way = pool.way(ServerId(0), address).expect("the one that came up");
-        assert!(matches!(way, Way::Open(_)));
+        let way = pool.acquire(ServerId(0), address).expect("the one that came up");
+        assert!(matches!(way, ConnectionSource::Pooled(_)));
         drop((way, pool));
         let read = tokio::io::AsyncReadExt::read(&mut stream, &mut [0; 1]).await.unwrap();
-        assert_eq!((read, slots.held()), (0, 0), "nothing was written, and the slot is free again");
+        assert_eq!((read, slots.in_use()), (0, 0), "nothing was written, and the slot is free again");
     }
 }
 
@@ -80,9 +82,9 @@
     let clock = Clock::new();
     let server = Arc::new(Server::new(listener.local_addr().unwrap()));
     server.set_ready(false, clock.now(), 0);
-    let slot = Slots::new(1).try_take(1).unwrap();
+    let slot = Slots::new(1).try_acquire(1).unwrap();
     let run = attempt(server, clock);
-    assert_eq!(run.run(Way::Connect(slot)).await.status, Status::Moot);
+    assert_eq!(run.run(ConnectionSource::Connect(slot)).await.status, Status::Moot);
     let (mut stream, _) = listener.accept().await.unwrap();
     let read = tokio::io::AsyncReadExt::read(&mut stream, &mut [0; 1]).await.unwrap();
     assert_eq!(read, 0, "something was written");
@@ -91,12 +93,12 @@
 #[test]
 fn a_server_that_is_told_to_drain_twice_has_one_grace_and_a_ready_one_no_end() {
     let server = Server::new("127.0.0.1:1".parse().unwrap());
-    let grace = 1_000 + 2 * server::MAX_HOLD_UP;
+    let grace = 1_000 + 2 * server::MAX_PROCESSING_DELAY;
     server.set_ready(false, 0, grace);
     server.set_ready(false, 900, grace);
-    assert!(server.takes_sends(999) && !server.takes_sends(1_000));
+    assert!(server.accepts_sends(999) && !server.accepts_sends(1_000));
     server.set_ready(true, 900, grace);
-    assert!(server.takes_sends(NEVER - 1));
+    assert!(server.accepts_sends(NEVER - 1));
 }
 
 /// Guards drains: a node that is held up for 0.15 s before it takes the notice in, and again after its last look at the
@@ -110,7 +112,7 @@
             let heard = told + HELD_UP;
             server.set_ready(false, heard, grace);
             let looks = (heard..heard + grace + 1).step_by(1_000_000);
-            let last_look = looks.filter(|&at| server.takes_sends(at)).max().unwrap_or(told);
+            let last_look = looks.filter(|&at| server.accepts_sends(at)).max().unwrap_or(told);
             let written = last_look + HELD_UP;
             assert!(written <= told + grace.max(HELD_UP), "{grace} ns of grace: {} ns after", written - told);
         }
--- a/fuzz/fuzz_targets/head.rs
+++ b/fuzz/fuzz_targets/head.rs
@@ -14,6 +14,6 @@
         }
     }
     if let Ok(uri) = uri.parse::<Uri>() {
-        let _ = merlinfold_node::head::Asked::read(&uri, &headers);
+        let _ = merlinfold_node::request_head::RequestHead::read(&uri, &headers);
     }
 });
