--- a/crates/node/tests/module_graph.rs
+++ b/crates/node/tests/module_graph.rs
@@ -122,7 +122,7 @@
     let graph = module_graph(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
     let uses = |module: &str, used: &str| graph[module].contains(used);
     assert!(uses("driver", "input") && uses("input", "upstream") && uses("upstream", "body"));
-    assert!(uses(ROOT, "driver") && uses("process", ROOT) && uses("discovery", "list"));
+    assert!(uses(ROOT, "driver") && uses("process", ROOT) && uses("discovery", "server_list"));
     assert!(graph.values().map(BTreeSet::len).sum::<usize>() > graph.len(), "{graph:#?}");
 }
 
