--- a/crates/node/src/driver/lists.rs
+++ b/crates/node/src/driver/lists.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Driver {
-    pub(super) fn apply_list(&mut self, kind: ListKind, list: List) {
+    pub(super) fn apply_list(&mut self, kind: ListKind, list: ServerList) {
         let now = self.clock.now();
         // Of a whole list nobody knows since when its servers are there.
         let unseen_at = self.list_received_at.filter(|_| kind == ListKind::Partial);
@@ -49,7 +49,8 @@
             weight: line.weight,
             started_at: line.since_ms.saturating_mul(1_000_000), // the module's clock is Unix time
         });
-        entry.started_at = self.start_times.local(entry.id.0 as usize, entry.started_at, now, unseen_at);
+        entry.started_at =
+            self.start_times.local_start(entry.id.0 as usize, entry.started_at, now, unseen_at);
         match self.servers.get_mut(entry.id.0 as usize) {
             None => {
                 self.servers.push(Arc::new(Server::new(line.address)));
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -13,13 +13,13 @@
 use crate::body::BufferBudget;
 use crate::capacity::Capacity;
 use crate::clock::Clock;
-use crate::configuration::{Change, InForce};
-use crate::handover::{Orders, Shared};
+use crate::configuration::{ActiveDocument, ConfigurationChange};
+use crate::handover::{Handover, Orders};
 use crate::input::{ClientRequest, ConsoleCommand, ConsoleReply, Input, Reply};
-use crate::lifecycle::{Life, Order, Posture};
-use crate::list::{Endpoint, List};
+use crate::lifecycle::{Command, Lifecycle, ServingState};
 use crate::metrics::{self, Metrics, RequestEnd, Totals};
 use crate::peers::Peers;
+use crate::server_list::{Endpoint, ServerList};
 use crate::start_times::StartTimes;
 use crate::upstream::{
     Attempt, AttemptOutcome, Connection, Pool, Server, ServerResponse, ServerResponseBody, UpstreamRequest,
@@ -69,19 +69,19 @@
     peers: Option<Peers>,
     fleet_snapshot: Option<Box<Snapshot>>, // as last told; none: its part has not begun, or the node belongs to none
     in_fleet: bool,
-    in_force: Arc<InForce>,    // of the versioned configuration
-    servers: Vec<Arc<Server>>, // by number
+    in_force: Arc<ActiveDocument>, // of the versioned configuration
+    servers: Vec<Arc<Server>>,     // by number
     requests: HashMap<RequestId, PendingRequest>,
     schedule: BinaryHeap<Reverse<(Nanos, ScheduledTask)>>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     metrics: Metrics,
     attempt_stats: AttemptStats,
-    lifecycle: Life,
-    posture: watch::Sender<Posture>,
+    lifecycle: Lifecycle,
+    posture: watch::Sender<ServingState>,
     members: Vec<bool>, // by number: whether the list has the server
     orders: Orders,
-    shared: Option<Shared>,
+    shared: Option<Handover>,
     has_polled: bool,  // at another process, at least once
     poll_failed: bool, // the last look at another process
     start_times: StartTimes,
@@ -95,9 +95,9 @@
         balancer: Balancer, names: NameTables, clock: Clock, limits: HostLimits, capacity: Capacity,
         inputs: UnboundedSender<Input>,
     ) -> Self {
-        let life = Life::new(limits.max_deadline);
+        let life = Lifecycle::new(limits.max_deadline);
         let figures = Metrics::new(&names.classes);
-        let (posture, _) = watch::channel(life.posture());
+        let (posture, _) = watch::channel(life.serving_state());
         Driver {
             balancer,
             names,
@@ -135,7 +135,7 @@
     }
 
     /// What the front is to follow.
-    pub fn posture(&self) -> watch::Receiver<Posture> {
+    pub fn posture(&self) -> watch::Receiver<ServingState> {
         self.posture.subscribe()
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// The list as it was last held; the module's first event. Where lists are pushed the first one is awaited.
-    pub fn load_known_list(&mut self, list: List, pushed: bool) {
+    pub fn load_known_list(&mut self, list: ServerList, pushed: bool) {
         if pushed {
             self.lifecycle.await_list(self.clock.now());
             self.update_lifecycle();
@@ -206,7 +206,7 @@
                 // One that names no change still says that discovery answers.
                 let kind = if list.snapshot { ListKind::Complete } else { ListKind::Partial };
                 self.apply_list(kind, list);
-                self.lifecycle.listed();
+                self.lifecycle.list_received();
                 self.update_lifecycle();
             }
             Input::Peer { from, bytes } => self.handle_event(Event::PeerMessage { from, bytes }),
@@ -220,7 +220,7 @@
             }
             Input::Fleet(fleet) => self.fleet_snapshot = Some(fleet),
             Input::Terminate => {
-                self.apply_order(Order::Terminate);
+                self.apply_order(Command::Terminate);
             }
         }
     }
@@ -291,7 +291,7 @@
             }
             Action::SendToPeers { to, bytes } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(to, &bytes);
+                    peers.send(to, &bytes);
                 }
             }
             Action::Watch => warn!("the list is followed without the module's asking"),
--- a/crates/node/src/driver/orders.rs
+++ b/crates/node/src/driver/orders.rs
@@ -5,11 +5,11 @@
 impl Driver {
     pub(super) fn handle_command(&mut self, call: ConsoleCommand) -> ConsoleReply {
         match call {
-            ConsoleCommand::Status if !self.lifecycle.posture().opens => {
+            ConsoleCommand::Status if !self.lifecycle.serving_state().may_listen => {
                 ConsoleReply::Unavailable("the predecessor makes room".to_owned())
             }
             ConsoleCommand::Status if self.has_list => {
-                ConsoleReply::Ok(format!("{}\n", self.lifecycle.name()))
+                ConsoleReply::Ok(format!("{}\n", self.lifecycle.state_name()))
             }
             ConsoleCommand::Status => ConsoleReply::Unavailable("no server list yet".to_owned()),
             ConsoleCommand::Metrics => {
@@ -57,7 +57,7 @@
     }
 
     /// Shares with the other processes of this node from now on, and takes over what one before has left.
-    pub fn share_state(&mut self, shared: Shared) {
+    pub fn share_state(&mut self, shared: Handover) {
         self.shared = Some(shared);
         self.poll_companion();
         self.schedule
@@ -68,7 +68,7 @@
     pub(super) fn poll_companion(&mut self) {
         let Some(shared) = &mut self.shared else { return };
         let had = shared.has_companion();
-        if let Err(error) = shared.look() {
+        if let Err(error) = shared.refresh() {
             if !std::mem::replace(&mut self.poll_failed, true) {
                 warn!(%error, "another process of this node would not be noticed: tried again at each look");
             }
@@ -90,13 +90,13 @@
     /// Takes over what an earlier process has left, at the first look that succeeds.
     fn inherit_orders(&mut self, companion: bool) {
         if companion {
-            self.lifecycle.wait(self.clock.now());
+            self.lifecycle.await_predecessor(self.clock.now());
         }
         let told = self.orders.clone();
-        if let Some(mut orders) = self.shared.as_mut().and_then(Shared::changed) {
+        if let Some(mut orders) = self.shared.as_mut().and_then(Handover::changed_orders) {
             info!(?orders, companion, "orders of an earlier process");
             orders.standby &= companion; // nobody knows of a drain before a crash any more
-            orders.follow(&told);
+            orders.merge_later(&told);
             self.apply_orders(orders);
         }
         if told != Orders::default() {
@@ -109,25 +109,25 @@
         let Some(shared) = &mut self.shared else { return };
         if !self.capacity.settle() {
             self.pool.shrink();
-            self.lifecycle.retire(); // a client that asks again is served by the other process
+            self.lifecycle.close_idle_connections(); // a client that asks again is served by the other process
         }
         if !companion {
-            self.lifecycle.open();
+            self.lifecycle.allow_listening();
         } else if shared.is_first() {
-            if let Err(error) = shared.keep(self.capacity.allocation()) {
+            if let Err(error) = shared.publish_usage(self.capacity.allocation()) {
                 warn!(%error, "a successor does not hear how much room there is");
             }
-        } else if !shared.has_place() {
-            self.lifecycle.wait(self.clock.now()); // a third process, for which there is no room
-        } else if shared.kept().is_some_and(|kept| self.capacity.fit_beside(kept)) {
-            self.lifecycle.open();
+        } else if !shared.has_slot() {
+            self.lifecycle.await_predecessor(self.clock.now()); // a third process, for which there is no room
+        } else if shared.companion_usage().is_some_and(|kept| self.capacity.fit_beside(kept)) {
+            self.lifecycle.allow_listening();
         }
     }
 
     fn read_orders(&mut self) {
         let Some(shared) = &mut self.shared else { return };
-        shared.write_again();
-        if let Some(orders) = shared.changed() {
+        shared.retry_write();
+        if let Some(orders) = shared.changed_orders() {
             info!(?orders, "orders from another process");
             self.apply_orders(orders);
         }
@@ -148,7 +148,7 @@
             }
         }
         if self.orders.standby != was.standby {
-            self.apply_order(if self.orders.standby { Order::Standby } else { Order::Active });
+            self.apply_order(if self.orders.standby { Command::Standby } else { Command::Active });
         }
     }
 
@@ -170,7 +170,7 @@
             return; // what an earlier process has left is still to be read, and would be written over
         }
         if let Some(shared) = &mut self.shared {
-            shared.write(&self.orders);
+            shared.write_orders(&self.orders);
         }
     }
 
@@ -178,18 +178,18 @@
     pub(super) fn set_standby(&mut self, standby: bool) -> ConsoleReply {
         self.poll_companion();
         let orders = Orders { standby, ..self.orders.clone() };
-        if !self.apply_order(if standby { Order::Standby } else { Order::Active }) {
+        if !self.apply_order(if standby { Command::Standby } else { Command::Active }) {
             return ConsoleReply::Conflict("the node ends".to_owned());
         }
         self.orders = orders;
         self.publish_orders();
-        ConsoleReply::Ok(format!("{}\n", self.lifecycle.name()))
+        ConsoleReply::Ok(format!("{}\n", self.lifecycle.state_name()))
     }
 
     /// Carries an order out, if that can still be done.
-    pub(super) fn apply_order(&mut self, order: Order) -> bool {
-        let done = self.lifecycle.order(self.clock.now(), order);
-        info!(?order, done, state = self.lifecycle.name(), "order");
+    pub(super) fn apply_order(&mut self, order: Command) -> bool {
+        let done = self.lifecycle.apply(self.clock.now(), order);
+        info!(?order, done, state = self.lifecycle.state_name(), "order");
         self.update_lifecycle();
         done
     }
@@ -197,9 +197,9 @@
     /// Lets the front know what the node's life asks for, and sees to it when that changes next.
     pub(super) fn update_lifecycle(&mut self) {
         self.lifecycle.tick(self.clock.now());
-        let posture = self.lifecycle.posture();
+        let posture = self.lifecycle.serving_state();
         self.posture.send_if_modified(|known| std::mem::replace(known, posture) != posture);
-        if let Some(at) = self.lifecycle.due() {
+        if let Some(at) = self.lifecycle.next_change() {
             self.schedule.push(Reverse((at, ScheduledTask::Lifecycle)));
         }
     }
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -16,7 +16,7 @@
             client,
         } = arrival;
         let now = self.clock.now();
-        let tenant = tenant.and_then(|named| self.in_force.tenant(named));
+        let tenant = tenant.and_then(|named| self.in_force.tenant_number(named));
         let deadline = expires.saturating_sub(RESPONSE_MARGIN).max(now);
         debug!(
             request = id.0,
@@ -46,7 +46,17 @@
             self.schedule.push(Reverse((deadline + OVERDUE_GRACE, ScheduledTask::RequestDeadline(id))));
         }
         let budget = deadline - now;
-self . handle_event ( Event::Request ( Request { id , class , tenant , key , client_timeout : budget , cost_hint , is_retry : repeat , streams_body : long } ) ) ; self . remove_if_finished ( id ) ;
+        self.handle_event(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            key,
+            client_timeout: budget,
+            cost_hint,
+            is_retry: repeat,
+            streams_body: long,
+        }));
+        self.remove_if_finished(id);
     }
 
     pub(super) fn finish_attempt(&mut self, id: RequestId, attempt: u32, ended: AttemptOutcome) {
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -30,10 +30,10 @@
 use crate::body::{buffer_body, BodyError, BodyPrefix, BufferBudget, BufferedBody, OnTimeout, Upload};
 use crate::capacity::Capacity;
 use crate::clock::Clock;
-use crate::configuration::NamedTenant;
+use crate::configuration::TenantRef;
 use crate::connection_timeouts::{CloseReason, ConnectionTimeouts};
 use crate::input::{ClientRequest, Input, Reply};
-use crate::lifecycle::Posture;
+use crate::lifecycle::ServingState;
 use crate::request_head::RequestHead;
 use crate::stream::{is_transient, MonitoredStream, SharedStream};
 use crate::upstream::{Relay, RequestBody, ServerResponseBody, UpstreamRequest};
@@ -73,7 +73,7 @@
     tenants: NameTable,
     accepts_new_tenants: bool, // revisions of the configuration may name others
     deadlines: Vec<Nanos>,
-    posture: watch::Receiver<Posture>,
+    posture: watch::Receiver<ServingState>,
     capacity: Capacity,
     clock: Clock,
     inputs: UnboundedSender<Input>,
@@ -85,7 +85,7 @@
 impl Front {
     pub fn new(
         settings: &Settings, names: &NameTables, clock: Clock, inputs: UnboundedSender<Input>,
-        capacity: Capacity, posture: watch::Receiver<Posture>,
+        capacity: Capacity, posture: watch::Receiver<ServingState>,
     ) -> Self {
         Front {
             classes: names.classes.clone(),
@@ -126,7 +126,7 @@
         let listener = match listener {
             ClientListener::Listening(listener) => Ok(listener),
             ClientListener::Bound(socket) => {
-                let _ = posture.wait_for(|posture| posture.opens || !posture.accepts).await;
+                let _ = posture.wait_for(|posture| posture.may_listen || !posture.accepts_connections).await;
                 socket.listen(BACKLOG)
             }
         };
@@ -134,17 +134,17 @@
             Ok(listener) => {
                 let mut listed = posture.clone();
                 let accept = async {
-                    let _ = listed.wait_for(|posture| posture.listed).await;
+                    let _ = listed.wait_for(|posture| posture.list_settled).await;
                     loop {
                         self.accept(&listener, &closing).await;
                     }
                 };
                 tokio::select! {
                     () = accept => {}
-                    _ = posture.wait_for(|posture| !posture.accepts) => {}
+                    _ = posture.wait_for(|posture| !posture.accepts_connections) => {}
                 }
                 // Once a client is due to be left without an answer, waiting for its slot serves nobody.
-                let ends_at = self.posture.borrow().ends_at.unwrap_or(self.clock.now());
+                let ends_at = self.posture.borrow().exit_at.unwrap_or(self.clock.now());
                 let left =
                     timeout_at(self.clock.instant(ends_at), self.drain_backlog(listener, &closing)).await;
                 if left.is_err() {
@@ -155,7 +155,7 @@
         }
         sleep(SETTLE_INTERVAL).await;
         close.send_replace(true);
-        let ends_at = self.posture.borrow().ends_at.unwrap_or(self.clock.now());
+        let ends_at = self.posture.borrow().exit_at.unwrap_or(self.clock.now());
         let all_gone = async {
             while self.capacity.clients.in_use() > 0 {
                 sleep(SETTLE_INTERVAL).await;
@@ -181,7 +181,7 @@
                 response
             }
         };
-        if improper || !self.posture.borrow().keeps || self.is_nearly_full() {
+        if improper || !self.posture.borrow().keep_alive || self.is_nearly_full() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response.map(|body| TrackedBody { body, _active_request: under_way }))
@@ -208,7 +208,7 @@
         }
         let RequestHead { key, cost_hint, repeat, remaining, .. } = asked;
         let tenant =
-            asked.tenant.and_then(|name| NamedTenant::named(name, &self.tenants, self.accepts_new_tenants));
+            asked.tenant.and_then(|name| TenantRef::from_name(name, &self.tenants, self.accepts_new_tenants));
         let bodiless = body.is_end_stream();
         let begun = Instant::now();
         let patient = match first {
@@ -228,7 +228,7 @@
         let arrived = if bodiless { arrived } else { self.stalls.arrival(self.clock.now()) };
         let deadline = self.deadlines[class];
         let expires = arrived + remaining.unwrap_or(deadline).min(deadline);
-        let expires = self.posture.borrow().answers_by.map_or(expires, |by| expires.min(by));
+        let expires = self.posture.borrow().answer_by.map_or(expires, |by| expires.min(by));
         let body = match gathered {
             all @ BodyPrefix { is_complete: true, .. } => RequestBody::Buffered(all.into()),
             some => RequestBody::Streamed(Arc::new(Upload::new(some, body, self.clock))),
