--- a/crates/decide/src/dynamic_settings.rs
+++ b/crates/decide/src/dynamic_settings.rs
@@ -1,34 +1,34 @@
-//! Settings that may change while a node runs. A request that has come keeps those that held when it came.
+//! Settings that may change while a node runs.
 
 use crate::interface::{Class, Nanos, Settings, Tenant};
 
-/// Those settings that may change while the node runs. Classes and tenants keep their numbers; tenants may be added
-/// behind those that there are.
+/// The settings that may change while a node runs. Classes and tenants keep their indices; tenants may be
+/// appended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DynamicSettings {
-    /// Of each class, by number.
+    /// Properties of the classes, by index.
     pub classes: Vec<DynamicClassSettings>,
-    /// Tenants, by number.
+    /// Tenants, by index.
     pub tenants: Vec<Tenant>,
-    /// As in [`Settings::over_share_worth`].
+    /// See [`Settings::over_quota_value_share`].
     pub over_quota_value_share: f64,
-    /// As in [`Settings::max_attempts`]; holds for requests that come from now on.
+    /// See [`Settings::max_attempts`]. Requests that have already arrived keep the old value.
     pub max_attempts: u32,
 }
 
-/// Those properties of a [`Class`] that may change while the node runs.
+/// The properties of a [`Class`] that may change while a node runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DynamicClassSettings {
-    /// As in [`Class::aim`].
+    /// See [`Class::target_latency`].
     pub target_latency: Nanos,
-    /// As in [`Class::worth`].
+    /// See [`Class::value`].
     pub value: f64,
-    /// As in [`Class::late_worth`].
+    /// See [`Class::late_value_share`].
     pub late_value_share: f64,
 }
 
 impl Settings {
-    /// Those of them that may change while the node runs.
+    /// Returns the part of the settings that may change while a node runs.
     pub fn dynamic_settings(&self) -> DynamicSettings {
         let of_class = |class: &Class| DynamicClassSettings {
             target_latency: class.target_latency,
@@ -43,17 +43,16 @@
         }
     }
 
-    /// Takes over these figures; all else stays as it is.
-    pub fn apply(&mut self, figures: DynamicSettings) {
-        let DynamicSettings { classes, tenants, over_quota_value_share: over_share_worth, max_attempts } =
-            figures;
-        for (class, figures) in self.classes.iter_mut().zip(classes) {
-            let DynamicClassSettings { target_latency: aim, value: worth, late_value_share: late_worth } =
-                figures;
-            (class.target_latency, class.value, class.late_value_share) = (aim, worth, late_worth);
+    /// Replaces the dynamic part of the settings.
+    pub fn apply(&mut self, dynamic: DynamicSettings) {
+        let DynamicSettings { classes, tenants, over_quota_value_share, max_attempts } = dynamic;
+        for (class, dynamic) in self.classes.iter_mut().zip(classes) {
+            class.target_latency = dynamic.target_latency;
+            class.value = dynamic.value;
+            class.late_value_share = dynamic.late_value_share;
         }
         self.tenants = tenants;
-        self.over_quota_value_share = over_share_worth;
+        self.over_quota_value_share = over_quota_value_share;
         self.max_attempts = max_attempts;
     }
 }
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -1,171 +1,209 @@
-//! Every decision of a node. Its types, events and actions are in `interface.rs`.
+//! Every decision of a node. The settings, events and actions are defined in `interface.rs`.
 //!
-//! The ordinary path is Koole's myopic static assignment (IEEE TAC 44, 1999): x_m counts own sends since
-//! server m was last used, q_m = λ/(λ+μ_m) is the chance that a job outlasts a gap between sends, and the
-//! ready server with the least q_m^x_m, the chance that it is still busy, gets the next attempt.
-//! Each departure from it is argued where it stands, at its constant or its function.
+//! Servers are selected by Koole's myopic static assignment (IEEE TAC 44, 1999). Here x_m is the number of
+//! own sends since server m was last used, and q_m = λ/(λ+μ_m) is the probability that a job at m lasts
+//! longer than the interval between two sends. The ready server with the least q_m^x_m, the probability that
+//! it is still busy, gets the next attempt. Each deviation from this rule is explained at its constant or
+//! function.
 
 mod admission;
 mod attempts;
 mod backoff;
-mod learning;
-mod listed;
-mod pick;
+mod constants;
+mod feedback;
+mod load;
+mod ranking;
+mod selection;
+mod server_list;
 mod slow_start;
 mod state;
-mod tuning;
-mod worth;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::counters::{mean, median, Decayed, Sliding, Usual};
+use crate::counters::{mean, median, DecayingSum, RunningStats, SlidingWindow};
 use crate::interface::*;
-use crate::ring::{self, Line, Part, Ring, Slot};
+use crate::ring::{self, Candidate, Ring, Rotation, Slot};
 pub use backoff::Backoff;
+use constants::*;
 use state::*;
-use tuning::*;
 
-/// One node's decisions: a state machine without input or output of its own.
+/// The decisions of one node: a deterministic state machine without I/O.
 #[derive(Default)]
 pub struct Balancer {
-    set: Settings,
+    settings: Settings,
     rng: fastrand::Rng,
     servers: BTreeMap<ServerId, Server>,
-    by_tag: BTreeMap<u32, ServerId>, // Servers by what names them in messages.
-    news: Vec<u8>,                   // What has been learned since peers were told.
-    ring: Ring, // Ready servers in the order of their tags, with what each is worth to each class.
-    tallies: Vec<Tally>,
-    suspects: BTreeSet<ServerId>,
-    wakes: BTreeSet<(Nanos, ServerId)>,
-    occupied: BTreeSet<ServerId>,     // Those with own attempts out.
-    homes: BTreeMap<u128, ServerId>,  // Ready servers of the own zone, by tag.
-    cells: BTreeSet<(u64, ServerId)>, // Servers by cell.
-    limit: u32,                       // Own attempts that a server takes side by side.
-    swept: Option<ServerId>,          // The last one that the sweep has passed.
-    speeds: Speeds,
-    weights: f64, // Of the ready servers, in all.
-    requests: BTreeMap<RequestId, Held>,
-    waiting: BTreeSet<(usize, Nanos, RequestId)>, // Admitted, by class and how long they may wait.
-    depths: [Usual; DEPTHS],                      // Slowness by own attempts at the server.
-    usual: Vec<Usual>, // Latency of each class, and the least that it has been: that without queues.
-    base: Vec<f64>,
-    service: Usual, // Time that servers say a request takes them.
-    sends: i64,
-    asked: Decayed, // Own requests, in all and of each tenant.
-    tenants: Vec<Decayed>,
-    work: Vec<Decayed>, // Work asked for, by class.
-    retries: f64,       // Retries left.
-    budget: RetryBudget,
-    taken: Sliding, // Requests taken and attempts after the first of one, for a stated budget.
-    further: Sliding,
+    /// Servers by the 24 bits of their name hash that identify them in peer messages.
+    by_name_hash: BTreeMap<u32, ServerId>,
+    /// Encoded observations since the last report to peers.
+    peer_report: Vec<u8>,
+    /// Ready servers in the order of their name hashes, with their scores for each class.
+    ring: Ring,
+    class_totals: Vec<ClassTotals>,
+    unhealthy_servers: BTreeSet<ServerId>,
+    /// When servers' scores change by the passing of time alone.
+    refresh_times: BTreeSet<(Nanos, ServerId)>,
+    /// Servers with own attempts in flight.
+    busy_servers: BTreeSet<ServerId>,
+    /// Ready servers of the node's own zone, by ring key.
+    local_servers: BTreeMap<u128, ServerId>,
+    cell_servers: BTreeSet<(u64, ServerId)>,
+    /// Own attempts that a server is given concurrently.
+    depth_limit: u32,
+    /// The last server whose scores the periodic refresh has recomputed.
+    refresh_cursor: Option<ServerId>,
+    speed_model: SpeedModel,
+    /// Sum of the weights of the ready servers.
+    total_weight: f64,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    /// Admitted requests without a server: class, time until which the request may wait, and id.
+    queue: BTreeSet<(usize, Nanos, RequestId)>,
+    /// Latency over unloaded latency, by the number of own attempts in flight at the server.
+    depth_stats: [RunningStats; TRACKED_DEPTHS],
+    /// Latency of each class.
+    latency_stats: Vec<RunningStats>,
+    /// Lowest latency of each class of late, which is its latency without queues.
+    unloaded_latency: Vec<f64>,
+    /// Service times in the servers' load reports.
+    service_time: RunningStats,
+    /// Attempts that this node has sent.
+    send_count: i64,
+    /// Requests that this node has received.
+    request_rate: DecayingSum,
+    /// Requests by tenant.
+    tenant_rates: Vec<DecayingSum>,
+    /// Work of the received requests, by class.
+    offered_work: Vec<DecayingSum>,
+    retry_tokens: f64,
+    retry_budget: RetryBudget,
+    /// Requests in the window of the retry budget.
+    recent_requests: SlidingWindow,
+    /// Attempts after a request's first, in the window of the retry budget.
+    recent_retries: SlidingWindow,
     pools: Vec<Pool>,
-    pool: Vec<usize>,                    // The pool of each class.
-    out: BTreeSet<ServerId>,             // Taken out by hand.
-    returned: BTreeMap<ServerId, Nanos>, // When servers that were out came back: they were started meanwhile.
+    /// Index into `pools`, by class.
+    pool_of_class: Vec<usize>,
+    /// Servers that operators have taken out of service.
+    in_maintenance: BTreeSet<ServerId>,
+    /// When servers were put back into service. They count as started at that time.
+    maintenance_ended_at: BTreeMap<ServerId, Nanos>,
     started: bool,
-    ask_at: Nanos, // When to ask for the server list next.
-    ask_backoff: Backoff,
+    /// When to request the server list next.
+    watch_at: Nanos,
+    watch_backoff: Backoff,
 }
 
 impl Balancer {
-    /// A node that knows its settings and nothing else.
-    pub fn new(set: Settings, seed: u64) -> Self {
+    /// Creates a node that has no knowledge besides its settings. `seed` determines all random choices.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let classes = settings.classes.len();
         // The target latency is all that is known of a class before its first answer.
-        let guess = |class: &Class| (class.target_latency as f64 / 8.0).max(1.0);
-        let first_like = |c: &Class| set.classes.iter().position(|d| d.placement == c.placement);
+        let estimate = |class: &Class| (class.target_latency as f64 / 8.0).max(1.0);
+        let first_with_placement =
+            |class: &Class| settings.classes.iter().position(|other| other.placement == class.placement);
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
-            usual: set.classes.iter().map(guess).map(Usual::guess).collect(),
-            base: set.classes.iter().map(guess).collect(),
-            tenants: vec![Decayed::default(); set.tenants.len()],
-            pool: set.classes.iter().filter_map(first_like).collect(),
-            pools: set.classes.iter().map(|_| Pool::default()).collect(),
-            work: vec![Decayed::default(); set.classes.len()],
-            ring: Ring::new(set.classes.len()),
-            tallies: vec![Tally::default(); set.classes.len()],
-            speeds: Speeds { unknown: 1.0, scale: 1.0, bound: Vec::new() },
-            limit: u32::MAX,
-            retries: RETRY_RESERVE,
-            budget: set.retry_budget.unwrap_or(UNSTATED),
-            ask_at: Nanos::MAX,
-            ask_backoff: Backoff::new(set.watch_interval),
-            set: Settings { node_count: set.node_count.max(1), ..set },
+            latency_stats: settings.classes.iter().map(estimate).map(RunningStats::with_estimate).collect(),
+            unloaded_latency: settings.classes.iter().map(estimate).collect(),
+            tenant_rates: vec![DecayingSum::default(); settings.tenants.len()],
+            pool_of_class: settings.classes.iter().filter_map(first_with_placement).collect(),
+            pools: settings.classes.iter().map(|_| Pool::default()).collect(),
+            offered_work: vec![DecayingSum::default(); classes],
+            ring: Ring::new(classes),
+            class_totals: vec![ClassTotals::default(); classes],
+            speed_model: SpeedModel { unmeasured: 1.0, scale: 1.0, reserved: Vec::new() },
+            depth_limit: u32::MAX,
+            retry_tokens: MAX_RETRY_TOKENS,
+            retry_budget: settings.retry_budget.unwrap_or(UNLIMITED_RETRIES),
+            watch_at: Nanos::MAX,
+            watch_backoff: Backoff::new(settings.watch_interval),
+            settings: Settings { node_count: settings.node_count.max(1), ..settings },
             ..Balancer::default()
         }
     }
 
-    /// Takes one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
+    /// Processes one event and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
             self.started = true;
-            out.push(Action::Timer { after: TICK, token: 0 });
-            if self.set.discovery == Discovery::Watch {
-                self.ask_at = now.saturating_add(self.ask_backoff.initial_wait(&mut self.rng));
+            actions.push(Action::Timer { after: TICK_INTERVAL, token: 0 });
+            if self.settings.discovery == Discovery::Watch {
+                self.watch_at = now.saturating_add(self.watch_backoff.initial_wait(&mut self.rng));
             }
         }
-        self.awake(now);
+        self.refresh_due(now);
         match event {
-            Event::Servers { kind, entries } => self.servers_told(now, kind, entries),
-            Event::Request(request) => self.request(now, request, out),
-            // A response that has started streams to its end without further decisions.
+            Event::Servers { kind, entries } => self.update_servers(now, kind, entries),
+            Event::Request(request) => self.handle_request(now, request, actions),
+            // A response that has started is streamed to its end without further decisions.
             Event::ResponseStarted { id, .. } | Event::ClientGone(id) => self.close(id),
-            Event::Outcome { .. } => self.outcome(now, event, out),
-            Event::BodySent(id) => self.uploaded(now, id),
-            Event::Timer(0) => self.tick(now, out),
-            Event::PeerMessage { bytes, .. } => self.hear(now, &bytes),
-            Event::Maintenance { server, out, ordered_at: since } => self.maintain(now, server, out, since),
-            Event::Reconfigured(figures) => {
-                self.tenants.resize(figures.tenants.len().max(self.tenants.len()), Decayed::default());
-                self.set.apply(*figures);
+            Event::Outcome { .. } => self.handle_outcome(now, event, actions),
+            Event::BodySent(id) => self.body_sent(now, id),
+            Event::Timer(0) => self.tick(now, actions),
+            Event::PeerMessage { bytes, .. } => self.receive_peer_report(now, &bytes),
+            Event::Maintenance { server, out, ordered_at } => {
+                self.set_maintenance(now, server, out, ordered_at);
+            }
+            Event::Reconfigured(settings) => {
+                let tenants = settings.tenants.len().max(self.tenant_rates.len());
+                self.tenant_rates.resize(tenants, DecayingSum::default());
+                self.settings.apply(*settings);
             }
             Event::Timer(_) | Event::ProbeOutcome { .. } => {}
         }
     }
 
-    /// Servers that this node holds anything about.
+    /// Number of servers that this node has state for.
     pub fn known_servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether the module would send there, if it fits: the list has it, and nobody took it out.
+    /// Whether the server may be selected: the server list has it as ready, and it is not in maintenance.
     pub fn is_ready(&self, id: ServerId) -> bool {
         self.servers.get(&id).is_some_and(|server| server.slot.is_some())
     }
 
-    /// Servers of the list that get nothing now, taken out by hand or ejected for their failures.
+    /// Number of listed servers that get no requests now, because they are in maintenance or ejected.
     pub fn excluded_servers(&self, now: Nanos) -> usize {
-        let avoided = |s: &&Server| s.back_at > now || self.out.contains(&s.entry.id);
+        let excluded = |s: &&Server| s.ejected_until > now || self.in_maintenance.contains(&s.entry.id);
         let listed = |s: &&Server| s.entry.readiness != Readiness::Removed;
-        self.servers.values().filter(listed).filter(avoided).count()
+        self.servers.values().filter(listed).filter(excluded).count()
     }
 
-    fn tick(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        out.push(Action::Timer { after: TICK, token: 0 });
-        let limit = self.depth_limit();
-        let least = limit.min(self.limit);
-        if limit > self.limit {
-            // What was told of more than these take after all is as old as what was told of these.
-            let beyond = self.depths.iter_mut().skip(self.limit as usize + 1);
-            beyond.for_each(|d| d.seen = d.seen.min(DEPTH_SAMPLES / 2.0));
+    /// Does the periodic housekeeping and schedules the next tick.
+    fn tick(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        actions.push(Action::Timer { after: TICK_INTERVAL, token: 0 });
+        self.update_depth_limit(now);
+        self.refresh_batch(now);
+        self.dispatch(now, actions);
+        self.send_peer_report(actions);
+        let without_news = |pool: &&mut Pool| (now - pool.congestion_updated_at) as f64 > LOAD_WINDOW_NS;
+        for pool in self.pools.iter_mut().filter(without_news) {
+            // While all requests are refused no answer can lower the congestion, so it decays by itself.
+            // Failures count as news and keep it up.
+            pool.congestion *= 1.0 - TICK_INTERVAL as f64 / RATE_WINDOW_NS;
         }
-        if std::mem::replace(&mut self.limit, limit) != limit {
-            let fuller =
-                self.occupied.iter().filter(|id| self.servers.get(id).is_some_and(|s| s.out >= least));
-            for id in fuller.copied().collect::<Vec<_>>() {
-                self.draw(now, id);
-            }
+        if now >= self.watch_at {
+            // One watch is open at a time. Without any answer it counts as failed after the interval.
+            self.watch_at = now.saturating_add(self.settings.watch_interval);
+            actions.push(Action::Watch);
+        }
+    }
+
+    fn update_depth_limit(&mut self, now: Nanos) {
+        let (old, limit) = (self.depth_limit, self.measured_depth_limit());
+        if limit > old {
+            // Measurements of greater depths are as old as the one that has just been disproved.
+            let deeper = self.depth_stats.iter_mut().skip(old as usize + 1);
+            deeper.for_each(|stats| stats.samples = stats.samples.min(DEPTH_SAMPLES / 2.0));
         }
-        self.sweep(now);
-        self.dispatch(now, out);
-        self.tell(out);
-        for pool in self.pools.iter_mut().filter(|p| (now - p.sensed) as f64 > STRAIN_WINDOW) {
-            // Refusing all brings no news: the strain has to fade by itself. Bad news keeps it up.
-            pool.strain *= 1.0 - TICK as f64 / RATE_WINDOW;
+        if limit == old {
+            return;
         }
-        if now >= self.ask_at {
-            // One subscription; if no answer comes at all it counts as failed after a while.
-            self.ask_at = now.saturating_add(self.set.watch_interval);
-            out.push(Action::Watch);
+        self.depth_limit = limit;
+        let affected = |id: &&ServerId| self.servers.get(id).is_some_and(|s| s.in_flight >= limit.min(old));
+        for id in self.busy_servers.iter().filter(affected).copied().collect::<Vec<_>>() {
+            self.refresh(now, id);
         }
     }
 }
--- a/crates/decide/src/ring.rs
+++ b/crates/decide/src/ring.rs
@@ -17,32 +17,32 @@
 
 /// What a server is to one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Line {
+pub struct Candidate {
     /// Worth gained with each send since it was last used; 0: it cannot be chosen. Below 2^62.
     pub slope: u64,
     /// The number of sends when it was last used.
-    pub last: i64,
+    pub last_send: i64,
     /// Of two equal ones the one with the lesser tie is chosen.
-    pub tie: u64,
+    pub tie_break: u64,
     /// It takes up a place in the part of the ring that is looked at, chosen or not.
-    pub counts: bool,
+    pub in_rotation: bool,
 }
 
-impl Line {
-    fn value(&self, at: i64) -> u128 {
-        u128::from(self.slope) * at.saturating_sub(self.last).max(0) as u128
+impl Candidate {
+    fn score(&self, at: i64) -> u128 {
+        u128::from(self.slope) * at.saturating_sub(self.last_send).max(0) as u128
     }
 }
 
 /// Which servers a question is about: `own` places that count, from the server on place `start` on.
 #[derive(Clone, Copy, Debug)]
-pub struct Part {
+pub struct Rotation {
     /// Place of the first, counting all servers of the ring in order.
     pub start: usize,
     /// How many places.
-    pub own: usize,
+    pub size: usize,
     /// Where none of them can be chosen: take the first beyond them that can.
-    pub beyond: bool,
+    pub extend: bool,
 }
 
 const NONE: u32 = u32::MAX;
@@ -59,17 +59,17 @@
 /// One class's standing match at a node: of a leaf its own line.
 #[derive(Clone, Copy)]
 struct Match {
-    line: Line,
-    winner: u32, // a leaf, or none below can be chosen
-    counts: u32, // places that count below
-    until: i64,  // the number of sends from which on it has to be replayed
+    candidate: Candidate,
+    winner: u32,      // a leaf, or none below can be chosen
+    in_rotation: u32, // places that count below
+    valid_until: i64, // the number of sends from which on it has to be replayed
 }
 
-const IDLE: Match = Match {
-    line: Line { slope: 0, last: 0, tie: 0, counts: false },
+const EMPTY_MATCH: Match = Match {
+    candidate: Candidate { slope: 0, last_send: 0, tie_break: 0, in_rotation: false },
     winner: NONE,
-    counts: 0,
-    until: i64::MAX,
+    in_rotation: 0,
+    valid_until: i64::MAX,
 };
 
 /// The ring of ready servers, with a tournament for each class.
@@ -108,21 +108,21 @@
     }
 
     /// What was set for a class.
-    pub fn line(&self, slot: Slot, class: usize) -> Line {
-        self.at(slot.0, class).line
+    pub fn candidate(&self, slot: Slot, class: usize) -> Candidate {
+        self.match_at(slot.0, class).candidate
     }
 
     /// What a server is worth to a class after so many sends; none if it cannot be chosen.
-    pub fn value(&self, slot: Slot, class: usize, at: i64) -> Option<u128> {
-        let line = self.line(slot, class);
-        (line.slope > 0).then(|| line.value(at))
+    pub fn score(&self, slot: Slot, class: usize, at: i64) -> Option<u128> {
+        let line = self.candidate(slot, class);
+        (line.slope > 0).then(|| line.score(at))
     }
 
-    fn at(&self, node: u32, class: usize) -> &Match {
+    fn match_at(&self, node: u32, class: usize) -> &Match {
         &self.matches[node as usize * self.classes + class]
     }
 
-    fn at_mut(&mut self, node: u32, class: usize) -> &mut Match {
+    fn match_at_mut(&mut self, node: u32, class: usize) -> &mut Match {
         &mut self.matches[node as usize * self.classes + class]
     }
 
@@ -132,12 +132,12 @@
                 let next = self.nodes[slot as usize].parent;
                 self.free = Some(next).filter(|&n| n != NONE);
                 self.nodes[slot as usize] = node;
-                (0..self.classes).for_each(|class| *self.at_mut(slot, class) = IDLE);
+                (0..self.classes).for_each(|class| *self.match_at_mut(slot, class) = EMPTY_MATCH);
                 slot
             }
             None => {
                 self.nodes.push(node);
-                self.matches.resize(self.nodes.len() * self.classes, IDLE);
+                self.matches.resize(self.nodes.len() * self.classes, EMPTY_MATCH);
                 self.nodes.len() as u32 - 1
             }
         }
@@ -173,17 +173,18 @@
         children[side(key, bit)] = leaf;
         let inner = self.allocate(Node { key, bit, parent: above, children, size });
         for class in 0..self.classes {
-            let counts = self.at(below, class).counts;
-            *self.at_mut(inner, class) = Match { counts, until: i64::MIN, ..IDLE };
+            let counts = self.match_at(below, class).in_rotation;
+            *self.match_at_mut(inner, class) =
+                Match { in_rotation: counts, valid_until: i64::MIN, ..EMPTY_MATCH };
         }
         (self.nodes[below as usize].parent, self.nodes[leaf as usize].parent) = (inner, inner);
-        self.replace(above, below, inner);
+        self.replace_child(above, below, inner);
         // The new node has to be replayed, and with it all above.
-        (0..self.classes).for_each(|class| self.stir(above, class, 0));
+        (0..self.classes).for_each(|class| self.invalidate(above, class, 0));
         Slot(leaf)
     }
 
-    fn replace(&mut self, parent: u32, child: u32, by: u32) {
+    fn replace_child(&mut self, parent: u32, child: u32, by: u32) {
         match parent {
             NONE => self.root = Some(by),
             parent => {
@@ -195,7 +196,7 @@
 
     /// Takes a server out.
     pub fn remove(&mut self, Slot(leaf): Slot) {
-        (0..self.classes).for_each(|class| self.set(Slot(leaf), class, Line::default()));
+        (0..self.classes).for_each(|class| self.set(Slot(leaf), class, Candidate::default()));
         let inner = self.nodes[leaf as usize].parent;
         self.release(leaf);
         if inner == NONE {
@@ -206,7 +207,7 @@
         let other = children[usize::from(children[0] == leaf)];
         let above = self.nodes[inner as usize].parent;
         self.nodes[other as usize].parent = above;
-        self.replace(above, inner, other);
+        self.replace_child(above, inner, other);
         self.release(inner);
         let mut node = above;
         while node != NONE {
@@ -216,79 +217,83 @@
     }
 
     /// States what a server is to a class.
-    pub fn set(&mut self, Slot(leaf): Slot, class: usize, line: Line) {
-        let own = self.at_mut(leaf, class);
-        if own.line == line {
+    pub fn set(&mut self, Slot(leaf): Slot, class: usize, line: Candidate) {
+        let own = self.match_at_mut(leaf, class);
+        if own.candidate == line {
             return;
         }
-        let change = i32::from(line.counts) - i32::from(own.line.counts);
-        own.line = line;
+        let change = i32::from(line.in_rotation) - i32::from(own.candidate.in_rotation);
+        own.candidate = line;
         own.winner = if line.slope > 0 { leaf } else { NONE };
-        own.counts = u32::from(line.counts);
-        self.stir(self.nodes[leaf as usize].parent, class, change);
+        own.in_rotation = u32::from(line.in_rotation);
+        self.invalidate(self.nodes[leaf as usize].parent, class, change);
     }
 
     /// The matches from a node upwards have to be replayed, and their counts change.
-    fn stir(&mut self, mut node: u32, class: usize, change: i32) {
+    fn invalidate(&mut self, mut node: u32, class: usize, change: i32) {
         while node != NONE {
-            let own = self.at_mut(node, class);
+            let own = self.match_at_mut(node, class);
             // What is above one that has to be replayed has to be replayed already.
-            if change == 0 && own.until == i64::MIN {
+            if change == 0 && own.valid_until == i64::MIN {
                 return;
             }
-            own.until = i64::MIN;
-            own.counts = own.counts.wrapping_add_signed(change);
+            own.valid_until = i64::MIN;
+            own.in_rotation = own.in_rotation.wrapping_add_signed(change);
             node = self.nodes[node as usize].parent;
         }
     }
 
     /// Replays what may have turned by the time of so many sends.
     fn replay(&mut self, node: u32, class: usize, at: i64) {
-        if self.at(node, class).until > at {
+        if self.match_at(node, class).valid_until > at {
             return;
         }
         let [left, right] = self.nodes[node as usize].children;
         self.replay(left, class, at);
         self.replay(right, class, at);
-        let (one, two) = (self.at(left, class), self.at(right, class));
+        let (one, two) = (self.match_at(left, class), self.match_at(right, class));
         let (won, lost) = if beats(two, one, at) { (two, one) } else { (one, two) };
-        let until = one.until.min(two.until).min(turn(won, lost, at));
-        let (line, winner) = (won.line, won.winner);
-        let own = self.at_mut(node, class);
-        (own.line, own.winner, own.until) = (line, winner, until);
+        let until = one.valid_until.min(two.valid_until).min(next_overtake(won, lost, at));
+        let (line, winner) = (won.candidate, won.winner);
+        let own = self.match_at_mut(node, class);
+        (own.candidate, own.winner, own.valid_until) = (line, winner, until);
     }
 
     /// The server of the part that is worth most to the class after so many sends, among those admitted.
     /// Sends only ever grow from one question to the next.
-    pub fn best(&mut self, class: usize, at: i64, part: Part, admit: &dyn Fn(u32) -> bool) -> Option<Slot> {
+    pub fn best(
+        &mut self, class: usize, at: i64, part: Rotation, admit: &dyn Fn(u32) -> bool,
+    ) -> Option<Slot> {
         let root = self.root?;
-        let all = self.at(root, class).counts as usize;
+        let all = self.match_at(root, class).in_rotation as usize;
         if all == 0 {
             return None;
         }
-        let first = self.counted_before(class, part.start) % all;
-        let own = part.own.min(all);
+        let first = self.rotation_count_before(class, part.start) % all;
+        let own = part.size.min(all);
         let wrapped = (first + own).saturating_sub(all);
         let here = self.best_within(root, class, at, first..first + own - wrapped, admit);
         let there = self.best_within(root, class, at, 0..wrapped, admit);
         let best = match (here, there) {
-            (Some(one), Some(two)) if beats(self.at(two, class), self.at(one, class), at) => Some(two),
+            (Some(one), Some(two)) if beats(self.match_at(two, class), self.match_at(one, class), at) => {
+                Some(two)
+            }
             (one, two) => one.or(two),
         };
-        if best.is_some() || !part.beyond {
+        if best.is_some() || !part.extend {
             return best.map(Slot);
         }
         let next = first + own;
-        let beyond = self.first_within(root, class, at, next..all, admit);
-        let beyond = beyond.or_else(|| self.first_within(root, class, at, wrapped..first, admit));
+        let beyond = self.first_eligible(root, class, at, next..all, admit);
+        let beyond = beyond.or_else(|| self.first_eligible(root, class, at, wrapped..first, admit));
         beyond.map(Slot)
     }
 
     /// Places that count before this one.
-    fn counted_before(&self, class: usize, place: usize) -> usize {
+    fn rotation_count_before(&self, class: usize, place: usize) -> usize {
         let (Some(mut node), mut place, mut counted) = (self.root, place, 0) else { return 0 };
         if place >= self.nodes[node as usize].size as usize {
-            return self.at(node, class).counts as usize;
+            return self.match_at(node, class).in_rotation as usize;
         }
         while self.nodes[node as usize].bit != LEAF {
             let [left, right] = self.nodes[node as usize].children;
@@ -296,7 +301,7 @@
             node = if place < size { left } else { right };
             if place >= size {
                 place -= size;
-                counted += self.at(left, class).counts as usize;
+                counted += self.match_at(left, class).in_rotation as usize;
             }
         }
         counted
@@ -310,11 +315,11 @@
         if places.is_empty() {
             return None;
         }
-        if places.start == 0 && places.end >= self.at(node, class).counts as usize {
+        if places.start == 0 && places.end >= self.match_at(node, class).in_rotation as usize {
             return self.best_of(node, class, at, admit);
         }
         let [left, right] = self.nodes[node as usize].children;
-        let size = self.at(left, class).counts as usize;
+        let size = self.match_at(left, class).in_rotation as usize;
         let (left_part, right_part) = split(places, size);
         let one = self.best_within(left, class, at, left_part, admit);
         let two = self.best_within(right, class, at, right_part, admit);
@@ -323,7 +328,7 @@
 
     fn best_of(&mut self, node: u32, class: usize, at: i64, admit: &dyn Fn(u32) -> bool) -> Option<u32> {
         self.replay(node, class, at);
-        let winner = self.at(node, class).winner;
+        let winner = self.match_at(node, class).winner;
         if winner == NONE {
             return None;
         }
@@ -341,13 +346,13 @@
 
     fn better(&self, one: Option<u32>, two: Option<u32>, class: usize, at: i64) -> Option<u32> {
         match (one, two) {
-            (Some(a), Some(b)) if beats(self.at(b, class), self.at(a, class), at) => two,
+            (Some(a), Some(b)) if beats(self.match_at(b, class), self.match_at(a, class), at) => two,
             _ => one.or(two),
         }
     }
 
     /// The first in the order of the ring that can be chosen.
-    fn first_within(
+    fn first_eligible(
         &mut self, node: u32, class: usize, at: i64, places: std::ops::Range<usize>,
         admit: &dyn Fn(u32) -> bool,
     ) -> Option<u32> {
@@ -355,17 +360,17 @@
             return None;
         }
         self.replay(node, class, at);
-        if self.at(node, class).winner == NONE {
+        if self.match_at(node, class).winner == NONE {
             return None;
         }
         if self.nodes[node as usize].bit == LEAF {
             return Some(node).filter(|_| admit(self.nodes[node as usize].key as u32));
         }
         let [left, right] = self.nodes[node as usize].children;
-        let size = self.at(left, class).counts as usize;
+        let size = self.match_at(left, class).in_rotation as usize;
         let (left_part, right_part) = split(places, size);
-        let left = self.first_within(left, class, at, left_part, admit);
-        left.or_else(|| self.first_within(right, class, at, right_part, admit))
+        let left = self.first_eligible(left, class, at, left_part, admit);
+        left.or_else(|| self.first_eligible(right, class, at, right_part, admit))
     }
 }
 
@@ -378,18 +383,18 @@
     if one.winner == NONE || other.winner == NONE {
         return one.winner != NONE;
     }
-    let (a, b) = (one.line.value(at), other.line.value(at));
-    a > b || a == b && one.line.tie < other.line.tie
+    let (a, b) = (one.candidate.score(at), other.candidate.score(at));
+    a > b || a == b && one.candidate.tie_break < other.candidate.tie_break
 }
 
 /// A number of sends before which the loser of a match stays so: the match itself or sooner, never later.
-fn turn(won: &Match, lost: &Match, at: i64) -> i64 {
-    if won.winner == NONE || lost.winner == NONE || lost.line.slope <= won.line.slope {
+fn next_overtake(won: &Match, lost: &Match, at: i64) -> i64 {
+    if won.winner == NONE || lost.winner == NONE || lost.candidate.slope <= won.candidate.slope {
         return i64::MAX;
     }
-    let gap = won.line.value(at) - lost.line.value(at);
+    let gap = won.candidate.score(at) - lost.candidate.score(at);
     // Rounded down by more than the error of the two conversions: replayed early, it is only replayed again.
-    let steps = gap as f64 / (lost.line.slope - won.line.slope) as f64 * (1.0 - 1e-12);
+    let steps = gap as f64 / (lost.candidate.slope - won.candidate.slope) as f64 * (1.0 - 1e-12);
     at.saturating_add((steps as i64).max(1))
 }
 
@@ -402,19 +407,22 @@
     use super::*;
 
     /// The question answered by looking at every server in turn.
-    fn scan(servers: &BTreeMap<u128, Line>, at: i64, part: Part, admit: &dyn Fn(u32) -> bool) -> Option<u32> {
+    fn scan(
+        servers: &BTreeMap<u128, Candidate>, at: i64, part: Rotation, admit: &dyn Fn(u32) -> bool,
+    ) -> Option<u32> {
         let order: Vec<_> = servers.iter().skip(part.start).chain(servers.iter().take(part.start)).collect();
-        let mut left = part.own;
+        let mut left = part.size;
         let mut best: Option<(u128, u64, u32)> = None;
-        for (&key, line) in order.into_iter().filter(|(_, line)| line.counts) {
-            if left == 0 && (best.is_some() || !part.beyond) {
+        for (&key, line) in order.into_iter().filter(|(_, line)| line.in_rotation) {
+            if left == 0 && (best.is_some() || !part.extend) {
                 break;
             }
             left = left.saturating_sub(1);
-            let value = line.value(at);
-            let better = best.is_none_or(|(most, tie, _)| value > most || value == most && line.tie < tie);
+            let value = line.score(at);
+            let better =
+                best.is_none_or(|(most, tie, _)| value > most || value == most && line.tie_break < tie);
             if line.slope > 0 && admit(key as u32) && better {
-                best = Some((value, line.tie, key as u32));
+                best = Some((value, line.tie_break, key as u32));
             }
         }
         best.map(|(_, _, id)| id)
@@ -463,7 +471,8 @@
                         next += 1;
                         let slot = ring.insert(key);
                         prop_assert_eq!(ring.id(slot), key as u32);
-                        let line = Line { slope: 1 << 40, last: at - (tie % 50) as i64, tie, counts: true };
+                        let last_send = at - (tie % 50) as i64;
+                        let line = Candidate { slope: 1 << 40, last_send, tie_break: tie, in_rotation: true };
                         ring.set(slot, 1, line);
                         slots.insert(key, slot);
                         model.insert(key, line);
@@ -475,18 +484,18 @@
                     },
                     Step::Set(n, slope, counts) => if let Some((key, slot)) = nth(n) {
                         let line = model.get_mut(&key).expect("it is in both");
-                        (line.slope, line.counts) = (if counts { slope } else { 0 }, counts);
+                        (line.slope, line.in_rotation) = (if counts { slope } else { 0 }, counts);
                         ring.set(slot, 1, *line);
                     },
                     Step::Use(n) => if let Some((key, slot)) = nth(n) {
                         let line = model.get_mut(&key).expect("it is in both");
-                        line.last = at;
+                        line.last_send = at;
                         at += 1;
                         ring.set(slot, 1, *line);
                     },
                     Step::Ask { start, own, beyond, without, sends } => {
                         at += sends;
-                        let part = Part { start: start % ring.len().max(1), own, beyond };
+                        let part = Rotation { start: start % ring.len().max(1), size: own, extend: beyond };
                         let admit = |id: u32| id % 40 != without;
                         let found = ring.best(1, at, part, &admit).map(|slot| ring.id(slot));
                         prop_assert_eq!(found, scan(&model, at, part, &admit));
