--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,11 @@
-//! The settings object that a node gets at its start, and the numbers that stand for its names.
+//! Reads the settings object that the platform hands to a node at its start, and assigns the numbers
+//! that stand for the names in it.
 //!
-//! What it states and no decision, rule or host uses is skipped rather than carried: `Goal`, `Prices`
-//! other than `CrossZone`, `Tenants[].Fraction` (its quota says the same), `Stages`, `Tier`, `Family`,
-//! `Period`, `ValueBy` and `AimStretch` weigh results and change no choice; `MaxStreams` and the CPU
-//! limits bind whoever hosts the module; `GraceToAnswer` is slack that is not spent.
+//! Fields that neither the decision module nor its host uses are ignored. `Goal`, `Prices` other than
+//! `CrossZone`, `Tenants[].Fraction` (the tenant's quota states the same), `Stages`, `Tier`, `Family`,
+//! `Period`, `ValueBy` and `AimStretch` only weigh results and affect no decision. `MaxStreams` and the
+//! CPU limits apply to the process that hosts the module. `GraceToAnswer` is slack that the node does not
+//! use.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -12,10 +14,12 @@
 
 use merlinfold_decide::interface::*;
 
-/// The settings object, as it is written.
+/// Longest interval between two requests for the server list if the settings state none, ns.
+const DEFAULT_ASK_WITHIN: Nanos = 10_000_000_000;
+
+/// The settings object as the platform writes it; durations are in nanoseconds.
 #[derive(Debug, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-#[serde(expecting = "a settings object")]
+#[serde(rename_all = "PascalCase", expecting = "a settings object")]
 pub struct PlatformSettings {
     #[serde(default)]
     balancers: u32,
@@ -106,31 +110,34 @@
     quota_per_s: Option<f64>,
 }
 
-/// What the host of a module enforces by itself on real connections.
+/// Limits on real connections that the host of the decision module enforces itself.
 #[derive(Clone, Copy, Debug)]
 pub struct HostLimits {
-    /// How long a connection may take to come up.
+    /// Timeout for establishing a connection to a server.
     pub connect_timeout: Nanos,
-    /// After which idle time a server closes a connection.
+    /// Idle time after which a server closes a connection.
     pub idle_timeout: Nanos,
-    /// Requests that may be open at once.
+    /// Maximum number of requests that are open at the same time.
     pub max_open_requests: usize,
-    /// How long sends may go on to a server that drains or is gone.
+    /// Time for which attempts may still be sent to a server after it started to drain or was removed.
     pub drain_grace: Nanos,
-    /// The longest time that a client waits for an answer.
+    /// Longest time that a client of any class waits for an answer.
     pub max_deadline: Nanos,
-    /// After which a server that has started is warm.
+    /// Time from the start of a server until it is warm.
     pub ramp_time: Nanos,
 }
 
 impl PlatformSettings {
-    /// What the module is told; gives the names in it their numbers.
+    /// Converts the settings for the decision module and assigns a number to each name in them.
+    ///
+    /// Returns an error if a class has an unknown group or semantics, or if an attempt budget has no
+    /// `BudgetSpan`.
     pub fn decision_settings(&self, names: &mut NameTables) -> Result<Settings, String> {
         for zone in &self.zones {
             names.zones.intern(zone);
         }
-        for kind in &self.host_types {
-            names.host_types.intern(kind);
+        for host_type in &self.host_types {
+            names.host_types.intern(host_type);
         }
         let mut classes = Vec::new();
         for category in &self.categories {
@@ -142,12 +149,22 @@
                         Some("all") => Group::All,
                         Some("zone") => Group::Zone,
                         Some("cell") => Group::Cell,
-                        other => return Err(format!("unknown group {other:?} of class {}", category.name)),
+                        other => {
+                            let class = &category.name;
+                            return Err(format!(
+                                "class {class}: expected Group all, zone or cell, got {other:?}"
+                            ));
+                        }
                     },
                     window: category.key_ttl.unwrap_or(0),
                 },
                 Some("once") | None => Effect::Unsafe,
-                Some(other) => return Err(format!("unknown semantics {other:?}")),
+                Some(other) => {
+                    let class = &category.name;
+                    return Err(format!(
+                        "class {class}: expected Semantics repeatable, by_key or once, got {other:?}"
+                    ));
+                }
             };
             classes.push(Class {
                 aim: category.aim,
@@ -163,16 +180,17 @@
         }
         let tenants = self.tenants.iter().map(|tenant| {
             names.tenants.intern(&tenant.name);
-            Tenant { quota_per_s: tenant.quota_per_s.filter(|&q| q > 0.0).unwrap_or(f64::INFINITY) }
+            // A quota that is absent or not positive limits nothing.
+            Tenant { quota_per_s: tenant.quota_per_s.filter(|&quota| quota > 0.0).unwrap_or(f64::INFINITY) }
         });
         let tenants = tenants.collect();
-        let stated = &self.obligations;
-        let attempt_budget = match (stated.budget_free, stated.extra_share) {
+        let obligations = &self.obligations;
+        let attempt_budget = match (obligations.budget_free, obligations.extra_share) {
             (None, None) => None,
             (free, share) => Some(AttemptBudget {
                 free: free.unwrap_or(0.0),
                 share: share.unwrap_or(0.0),
-                span: require_field(stated.budget_span, "BudgetSpan")?,
+                span: require_field(obligations.budget_span, "BudgetSpan")?,
             }),
         };
         Ok(Settings {
@@ -197,15 +215,15 @@
             may_tell: self.limits.may_tell,
             retry_after: self.limits.retry_after,
             max_retry_after: self.limits.max_retry_after,
-            ask_within: stated.ask_within.unwrap_or(10_000_000_000),
-            cold_share: stated.cold_share.unwrap_or(1.0),
-            ramp_time: stated.ramp_time,
-            fall_multiple: stated.fall_multiple.unwrap_or(1.0),
-            tip_after: stated.tip_after,
+            ask_within: obligations.ask_within.unwrap_or(DEFAULT_ASK_WITHIN),
+            cold_share: obligations.cold_share.unwrap_or(1.0),
+            ramp_time: obligations.ramp_time,
+            fall_multiple: obligations.fall_multiple.unwrap_or(1.0),
+            tip_after: obligations.tip_after,
         })
     }
 
-    /// What the host has to enforce; the error names the field that is missing.
+    /// Returns the limits that the host enforces, or an error that names the missing field.
     pub fn host_limits(&self) -> Result<HostLimits, String> {
         if self.categories.is_empty() {
             return Err("field Categories is missing or empty".to_owned());
@@ -221,12 +239,12 @@
     }
 }
 
-/// A field that has to be there.
+/// Returns the value of a mandatory field, or an error that names the missing field.
 pub fn require_field<T>(value: Option<T>, field: &str) -> Result<T, String> {
     value.ok_or_else(|| format!("field {field} is missing"))
 }
 
-/// Names to numbers, in the order of first sight.
+/// Assigns consecutive numbers to names, in the order in which the names are first seen.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable {
     numbers: BTreeMap<String, usize>,
@@ -234,91 +252,91 @@
 }
 
 impl NameTable {
-    /// The number of a name, a new one if it is new.
+    /// Returns the number of a name; a new name gets the next free number.
     pub fn intern(&mut self, name: &str) -> usize {
-        if let Some(known) = self.get(name) {
-            return known;
+        if let Some(number) = self.get(name) {
+            return number;
         }
-        let next = self.names.len();
-        self.numbers.insert(name.to_owned(), next);
+        let number = self.names.len();
+        self.numbers.insert(name.to_owned(), number);
         self.names.push(name.to_owned());
-        next
+        number
     }
 
-    /// The number of a name that is known.
+    /// Returns the number of a name, or `None` if the name is unknown.
     pub fn get(&self, name: &str) -> Option<usize> {
         self.numbers.get(name).copied()
     }
 
-    /// The name of a number that was handed out.
+    /// Returns the name that has this number. Panics if the number was never assigned.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
 
-    /// All names, in the order of their numbers.
+    /// Returns all names in the order of their numbers.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.names.iter().map(String::as_str)
     }
 
-    /// A name that no server has yet still gets a number of its own, so that a list of such names
-    /// allows nothing rather than everything.
+    /// Returns the numbers of all names in a list. A name that no server has yet gets a number too, so
+    /// that a list of such names permits no server rather than every server.
     fn intern_all(&mut self, names: &Option<Vec<String>>) -> Option<Vec<u16>> {
         names.as_ref().map(|names| names.iter().map(|name| self.intern(name) as u16).collect())
     }
 }
 
-/// The names that one node has met.
+/// The names that one node has seen, with a table for each sort of name.
 #[derive(Clone, Debug, Default)]
 pub struct NameTables {
-    /// Of request classes.
+    /// Names of request classes.
     pub classes: NameTable,
-    /// Of tenants.
+    /// Names of tenants.
     pub tenants: NameTable,
-    /// Of zones.
+    /// Names of zones.
     pub zones: NameTable,
-    /// Of kinds of machine.
+    /// Names of host types.
     pub host_types: NameTable,
-    /// Of servers.
+    /// Names of servers.
     pub servers: NameTable,
 }
 
-/// A line of the server list, with its names.
+/// An entry of the server list that has names in place of numbers.
 pub struct NamedServer<'a> {
-    /// The server.
+    /// Name of the server.
     pub name: &'a str,
-    /// Its zone.
+    /// Zone in which the server runs.
     pub zone: Option<&'a str>,
-    /// Its kind of machine.
+    /// Type of host on which the server runs.
     pub host_type: Option<&'a str>,
-    /// Its cell.
+    /// Cell to which the server belongs; 0 if absent.
     pub cell: Option<u64>,
-    /// Whether it takes work.
+    /// Whether the server accepts requests.
     pub readiness: Readiness,
-    /// Registered size.
+    /// Registered capacity relative to other servers; 1 if absent.
     pub weight: Option<f64>,
-    /// When it last started, on the module's clock; 0: long ago.
+    /// Time of the last start on the decision module's clock; 0 means long ago.
     pub started_at: Nanos,
 }
 
 impl NameTables {
-    /// The line with numbers in place of names.
-    pub fn server_entry(&mut self, listed: NamedServer) -> ServerEntry {
+    /// Converts a server entry for the decision module, with numbers in place of names.
+    pub fn server_entry(&mut self, server: NamedServer) -> ServerEntry {
         let mut hasher = fnv::FnvHasher::default();
-        hasher.write(listed.name.as_bytes());
+        hasher.write(server.name.as_bytes());
         ServerEntry {
-            id: ServerId(self.servers.intern(listed.name) as u32),
+            id: ServerId(self.servers.intern(server.name) as u32),
             tag: hasher.finish(),
-            zone: self.zones.intern(listed.zone.unwrap_or("")) as u16,
-            kind: self.host_types.intern(listed.host_type.unwrap_or("")) as u16,
-            cell: listed.cell.unwrap_or(0),
-            readiness: listed.readiness,
-            weight: listed.weight.unwrap_or(1.0),
-            since: listed.started_at,
+            zone: self.zones.intern(server.zone.unwrap_or("")) as u16,
+            kind: self.host_types.intern(server.host_type.unwrap_or("")) as u16,
+            cell: server.cell.unwrap_or(0),
+            readiness: server.readiness,
+            weight: server.weight.unwrap_or(1.0),
+            since: server.started_at,
         }
     }
 }
 
-/// Takes one figure of a load report by its name; one that is not known is ignored.
+/// Sets one metric of a load report by its name on the wire; an unknown name is ignored.
 pub fn set_load_metric(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "inflight" => report.in_flight = Some(value),
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,8 +1,10 @@
-//! The simulator's dialect, translated to and from [`merlinfold_decide::interface`]. No decisions here.
+//! Translates the simulator's line protocol to and from [`merlinfold_decide::interface`]. It makes no
+//! decisions.
 //!
-//! `MarksRetry` shows in the marks, `Reporting` in the reports that come; the write bit has no use
-//! where a class's effect is stated. The actions `LetGo`, `GetList`, `Debug` and `Crash` are not
-//! taken: the module watches instead of listing, and a fault of its own ends the process.
+//! The settings `MarksRetry` and `Reporting` are not read, because the retry marks of the requests and the
+//! load reports that arrive show their effect. The write bit of a request is not read, because its class
+//! states its effect. The actions `LetGo`, `GetList`, `Debug` and `Crash` are never sent: the decision
+//! module subscribes to the server list instead of fetching it, and an internal error ends the process.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -18,10 +20,18 @@
     require_field, set_load_metric, NameTable, NameTables, NamedServer, PlatformSettings,
 };
 
-/// A line of input. One flat record: which fields a message needs is checked where it is used.
+/// Bit of `Bits` that says that `CostGuess` is valid.
+const HAS_COST_GUESS: u64 = 1;
+
+/// Bit of `Bits` that marks a request that its client repeats.
+const IS_REPEAT: u64 = 2;
+
+/// A line of input. The fields of all messages are in one record; whether those that a message needs are
+/// present is checked where they are used.
 #[derive(Deserialize)]
+#[serde(expecting = "a message")]
 #[allow(non_snake_case)]
-struct Line<'a> {
+struct InputMessage<'a> {
     #[serde(borrow)]
     msg: Cow<'a, str>,
     Time: Option<u64>,
@@ -33,7 +43,7 @@
     Table: Option<u64>,
     #[serde(borrow)]
     Scope: Option<Cow<'a, str>>,
-    NodesList: Option<Vec<Entry>>,
+    NodesList: Option<Vec<DirectoryEntry>>,
     #[serde(borrow)]
     Req: Option<Cow<'a, str>>,
     #[serde(borrow)]
@@ -52,7 +62,7 @@
     Terminal: Option<bool>,
     #[serde(borrow)]
     Result: Option<Cow<'a, str>>,
-    Report: Option<Report>,
+    Report: Option<WireLoadReport>,
     Tag: Option<u64>,
     By: Option<u32>,
     #[serde(borrow)]
@@ -67,34 +77,35 @@
     Number(u64),
 }
 
-/// A load report as the wire writes it: an object, name to value.
-struct Report(LoadReport);
+/// A load report, which is an object of metric names and values on the wire. A null value is ignored.
+struct WireLoadReport(LoadReport);
 
-impl<'de> Deserialize<'de> for Report {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        struct Pairs;
-        impl<'de> Visitor<'de> for Pairs {
-            type Value = Report;
+impl<'de> Deserialize<'de> for WireLoadReport {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        struct MetricsVisitor;
+        impl<'de> Visitor<'de> for MetricsVisitor {
+            type Value = WireLoadReport;
 
-            fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
-                to.write_str("a load report")
+            fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+                formatter.write_str("a load report")
             }
 
-            fn visit_map<A: MapAccess<'de>>(self, mut pairs: A) -> Result<Report, A::Error> {
+            fn visit_map<A: MapAccess<'de>>(self, mut metrics: A) -> Result<WireLoadReport, A::Error> {
                 let mut report = LoadReport::default();
-                while let Some((name, value)) = pairs.next_entry::<Cow<str>, Option<f64>>()? {
+                while let Some((name, value)) = metrics.next_entry::<Cow<str>, Option<f64>>()? {
                     value.into_iter().for_each(|value| set_load_metric(&mut report, &name, value));
                 }
-                Ok(Report(report))
+                Ok(WireLoadReport(report))
             }
         }
-        from.deserialize_map(Pairs)
+        deserializer.deserialize_map(MetricsVisitor)
     }
 }
 
+/// A server in a `Directory` message.
 #[derive(Deserialize, Clone)]
-#[serde(rename_all = "PascalCase")]
-struct Entry {
+#[serde(rename_all = "PascalCase", expecting = "an entry of NodesList")]
+struct DirectoryEntry {
     server: String,
     rack_zone: Option<String>,
     class_of_host: Option<String>,
@@ -104,10 +115,10 @@
     online_since: Option<u64>,
 }
 
-/// A line of output.
+/// A line of output. Fields that a message does not have are left out.
 #[derive(Serialize, Default)]
 #[allow(non_snake_case)]
-struct Reply<'a> {
+struct OutputMessage<'a> {
     msg: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     Node: Option<u64>,
@@ -135,31 +146,29 @@
     Active: Option<bool>,
 }
 
-type Fault = String;
-
-/// The latest time that is taken, ns: far beyond any day, and far from where sums of times overflow.
-const TIME_MOST: Nanos = 1 << 61;
+/// Latest accepted time, ns. It is far beyond any simulated day, and sums of such times do not overflow.
+const MAX_TIME: Nanos = 1 << 61;
 
-/// One node with its names.
-struct Instance {
+/// The decision module of one node and the names that the node has seen.
+struct NodeInstance {
     balancer: Balancer,
     names: NameTables,
 }
 
-impl Instance {
-    fn new(env: &PlatformSettings, seed: u64) -> Result<Self, Fault> {
+impl NodeInstance {
+    fn new(platform: &PlatformSettings, seed: u64) -> Result<Self, String> {
         let mut names = NameTables::default();
-        let settings = env.decision_settings(&mut names)?;
-        Ok(Instance { balancer: Balancer::new(settings, seed), names })
+        let settings = platform.decision_settings(&mut names)?;
+        Ok(NodeInstance { balancer: Balancer::new(settings, seed), names })
     }
 
-    fn server(&self, name: Option<Cow<str>>) -> Result<ServerId, Fault> {
+    fn server_id(&self, name: Option<Cow<str>>) -> Result<ServerId, String> {
         let name = require_field(name, "Server")?;
-        let known = self.names.servers.get(&name);
-        known.map(|n| ServerId(n as u32)).ok_or_else(|| format!("unknown server {name:?}"))
+        let number = self.names.servers.get(&name);
+        number.map(|number| ServerId(number as u32)).ok_or_else(|| format!("unknown server {name:?}"))
     }
 
-    fn entry(&mut self, entry: &Entry) -> Result<ServerEntry, Fault> {
+    fn server_entry(&mut self, entry: &DirectoryEntry) -> Result<ServerEntry, String> {
         Ok(self.names.server_entry(NamedServer {
             name: &entry.server,
             zone: entry.rack_zone.as_deref(),
@@ -169,7 +178,11 @@
                 "Running" => Readiness::Ready,
                 "Stopping" => Readiness::Draining,
                 "Deleted" => Readiness::Gone,
-                other => return Err(format!("unknown readiness {other:?}")),
+                other => {
+                    return Err(format!(
+                        "unknown readiness {other:?}; expected Running, Stopping or Deleted"
+                    ));
+                }
             },
             weight: entry.rating,
             started_at: entry.online_since.unwrap_or(0),
@@ -177,16 +190,16 @@
     }
 }
 
-fn request_id(text: Option<Cow<str>>) -> Result<RequestId, Fault> {
+fn parse_request_id(text: Option<Cow<str>>) -> Result<RequestId, String> {
     let text = require_field(text, "Req")?;
-    let lower = text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+    let lower_case = text.bytes().all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte));
     match u64::from_str_radix(&text, 16) {
-        Ok(id) if lower && text.len() == 16 => Ok(RequestId(id)),
-        _ => Err(format!("request id {text:?} is not 16 hex digits")),
+        Ok(id) if lower_case && text.len() == 16 => Ok(RequestId(id)),
+        _ => Err(format!("request id {text:?} is not 16 hex digits in lower case")),
     }
 }
 
-fn status(text: Option<Cow<str>>) -> Result<Status, Fault> {
+fn parse_status(text: Option<Cow<str>>) -> Result<Status, String> {
     Ok(match require_field(text, "Result")?.as_ref() {
         "OK" => Status::Ok,
         "INTERNAL" => Status::Error,
@@ -200,68 +213,74 @@
     })
 }
 
-/// The adapter: takes lines, hands out replies.
+/// Handles the simulator's input lines and returns a reply for each batch of them.
 #[derive(Default)]
 pub struct Adapter {
-    now: Option<(Nanos, u64)>,
-    latest: Nanos,
-    tables: BTreeMap<u64, Vec<Entry>>,
-    instances: BTreeMap<u64, Instance>,
+    /// Time and sequence number of the open batch.
+    batch: Option<(Nanos, u64)>,
+    /// Time of the last batch that was opened.
+    latest_time: Nanos,
+    tables: BTreeMap<u64, Vec<DirectoryEntry>>,
+    nodes: BTreeMap<u64, NodeInstance>,
+    /// Empty between lines; kept to reuse its allocation.
     actions: Vec<Action>,
     reply: Vec<u8>,
 }
 
 impl Adapter {
-    /// Whether a batch has begun and not ended.
+    /// Returns whether a batch has started and not ended.
     pub fn in_batch(&self) -> bool {
-        self.now.is_some()
+        self.batch.is_some()
     }
 
-    /// Takes one line; returns the reply when the line closes a batch.
-    pub fn handle_line(&mut self, text: &[u8]) -> Result<Option<&[u8]>, String> {
-        let line: Line = serde_json::from_slice(text).map_err(|error| error.to_string())?;
-        let Some((now, seq)) = self.now else {
-            if line.msg != "Frame" {
-                return Err(format!("{} outside of a batch", line.msg));
+    /// Handles one line and returns the reply if the line ends a batch.
+    ///
+    /// Returns an error if the line is malformed, out of order or refers to an unknown name.
+    pub fn handle_line(&mut self, line: &[u8]) -> Result<Option<&[u8]>, String> {
+        let message: InputMessage = serde_json::from_slice(line).map_err(|error| error.to_string())?;
+        let Some((now, seq)) = self.batch else {
+            if message.msg != "Frame" {
+                return Err(format!("{} outside of a batch", message.msg));
             }
-            let (now, seq) = (require_field(line.Time, "Time")?, require_field(line.seq, "seq")?);
-            if now < self.latest || now > TIME_MOST {
-                let latest = self.latest;
+            let (now, seq) = (require_field(message.Time, "Time")?, require_field(message.seq, "seq")?);
+            let latest = self.latest_time;
+            if now < latest || now > MAX_TIME {
                 return Err(format!(
-                    "Time {now} is not between that of the last batch, {latest}, and {TIME_MOST}"
+                    "Time {now} is out of range; expected {latest} (time of the last batch) to {MAX_TIME}"
                 ));
             }
-            (self.now, self.latest) = (Some((now, seq)), now);
+            (self.batch, self.latest_time) = (Some((now, seq)), now);
             self.reply.clear();
             return Ok(None);
         };
-        match line.msg.as_ref() {
-            "Frame" => return Err("a batch begins within a batch".to_owned()),
+        match message.msg.as_ref() {
+            "Frame" => return Err("Frame within a batch; expected Eob first".to_owned()),
             "Eob" => {
-                self.now = None;
-                write(&mut self.reply, &Reply { msg: "Ok", seq: Some(seq), ..Reply::default() });
+                self.batch = None;
+                let end = OutputMessage { msg: "Ok", seq: Some(seq), ..OutputMessage::default() };
+                write_message(&mut self.reply, &end);
                 return Ok(Some(&self.reply));
             }
             "Directory" => {
-                self.tables
-                    .insert(require_field(line.Table, "Table")?, require_field(line.NodesList, "NodesList")?);
+                let entries = require_field(message.NodesList, "NodesList");
+                self.tables.insert(require_field(message.Table, "Table")?, entries?);
                 return Ok(None);
             }
             _ => {}
         }
-        let node = require_field(line.Node, "Node")?;
-        if line.msg == "Configure" {
-            let instance =
-                Instance::new(&require_field(line.Env, "Env")?, require_field(line.Seed, "Seed")?)?;
-            self.instances.insert(node, instance);
+        let node = require_field(message.Node, "Node")?;
+        if message.msg == "Configure" {
+            let settings = require_field(message.Env, "Env")?;
+            let instance = NodeInstance::new(&settings, require_field(message.Seed, "Seed")?)?;
+            self.nodes.insert(node, instance);
             return Ok(None);
         }
-        if line.msg == "Exit" {
-            self.instances.remove(&node).ok_or_else(|| format!("unknown node {node}"))?;
+        if message.msg == "Exit" {
+            self.nodes.remove(&node).ok_or_else(|| format!("unknown node {node}"))?;
             return Ok(None);
         }
-        let instance = self.instances.get_mut(&node).ok_or_else(|| format!("unknown node {node}"))?;
-        let event = Self::event(instance, &self.tables, line)?;
+        let instance = self.nodes.get_mut(&node).ok_or_else(|| format!("unknown node {node}"))?;
+        let event = Self::parse_event(instance, &self.tables, message)?;
         let mut actions = std::mem::take(&mut self.actions);
         instance.balancer.handle(now, event, &mut actions);
         for action in actions.drain(..) {
@@ -271,125 +290,135 @@
         Ok(None)
     }
 
-    fn event(at: &mut Instance, tables: &BTreeMap<u64, Vec<Entry>>, line: Line) -> Result<Event, Fault> {
-        Ok(match line.msg.as_ref() {
+    /// Converts a message that is addressed to a node into an event for its decision module.
+    fn parse_event(
+        node: &mut NodeInstance, tables: &BTreeMap<u64, Vec<DirectoryEntry>>, message: InputMessage,
+    ) -> Result<Event, String> {
+        Ok(match message.msg.as_ref() {
             "Membership" => {
-                require_field(line.Gen, "Gen")?;
-                let kind = match require_field(line.Scope, "Scope")?.as_ref() {
+                require_field(message.Gen, "Gen")?;
+                let kind = match require_field(message.Scope, "Scope")?.as_ref() {
                     "Persisted" => ListKind::Persisted,
                     "Complete" => ListKind::Complete,
                     "Partial" => ListKind::Partial,
                     "Error" => ListKind::Failed,
-                    other => return Err(format!("unknown scope {other:?}")),
+                    other => {
+                        return Err(format!(
+                            "unknown scope {other:?}; expected Persisted, Complete, Partial or Error"
+                        ));
+                    }
                 };
                 let mut entries = Vec::new();
                 if kind != ListKind::Failed {
-                    let table = require_field(line.Table, "Table")?;
+                    let table = require_field(message.Table, "Table")?;
                     let list = tables.get(&table).ok_or_else(|| format!("unknown table {table}"))?;
                     for entry in list {
-                        entries.push(at.entry(entry)?);
+                        entries.push(node.server_entry(entry)?);
                     }
                 }
                 Event::Servers { kind, entries }
             }
             "Ask" => {
-                let band = require_field(line.Band, "Band")?;
-                let class = at.names.classes.get(&band);
-                let tenant = match &line.ClientGroup {
-                    Some(NameOrNumber::Name(name)) => at.names.tenants.get(name),
+                let band = require_field(message.Band, "Band")?;
+                let class = node.names.classes.get(&band);
+                let tenant = match &message.ClientGroup {
+                    Some(NameOrNumber::Name(name)) => node.names.tenants.get(name),
                     Some(NameOrNumber::Number(0)) | None => None,
-                    Some(NameOrNumber::Number(n)) => return Err(format!("unknown tenant {n}")),
+                    Some(NameOrNumber::Number(number)) => return Err(format!("unknown tenant {number}")),
                 };
                 Event::Request(Request {
-                    id: request_id(line.Req)?,
+                    id: parse_request_id(message.Req)?,
                     class: class.ok_or_else(|| format!("unknown class {band:?}"))?,
                     tenant,
-                    key: line.Item,
-                    budget: require_field(line.Budget, "Budget")?,
-                    cost_hint: line.CostGuess.filter(|_| line.Bits & 1 != 0),
-                    repeat: line.Bits & 2 != 0,
+                    key: message.Item,
+                    budget: require_field(message.Budget, "Budget")?,
+                    cost_hint: message.CostGuess.filter(|_| message.Bits & HAS_COST_GUESS != 0),
+                    repeat: message.Bits & IS_REPEAT != 0,
                     long: false,
                 })
             }
             "Accepted" => Event::Begun {
-                id: request_id(line.Req)?,
-                attempt: require_field(line.SendNo, "SendNo")?,
-                latency: line.Duration.unwrap_or(0),
+                id: parse_request_id(message.Req)?,
+                attempt: require_field(message.SendNo, "SendNo")?,
+                latency: message.Duration.unwrap_or(0),
             },
             "Verdict" => Event::Outcome {
-                id: request_id(line.Req)?,
-                attempt: require_field(line.SendNo, "SendNo")?,
-                server: at.server(line.Server)?,
-                status: status(line.Result)?,
-                latency: line.Duration.unwrap_or(0),
-                terminal: line.Terminal.unwrap_or(false),
-                report: line.Report.map(|report| report.0),
+                id: parse_request_id(message.Req)?,
+                attempt: require_field(message.SendNo, "SendNo")?,
+                server: node.server_id(message.Server)?,
+                status: parse_status(message.Result)?,
+                latency: message.Duration.unwrap_or(0),
+                terminal: message.Terminal.unwrap_or(false),
+                report: message.Report.map(|report| report.0),
             },
-            "Dropped" => Event::Gone(request_id(line.Req)?),
-            "DeadlineHit" => Event::Timer(require_field(line.Tag, "Tag")?),
+            "Dropped" => Event::Gone(parse_request_id(message.Req)?),
+            "DeadlineHit" => Event::Timer(require_field(message.Tag, "Tag")?),
             "Echo" => Event::Probed {
-                server: at.server(line.Server)?,
-                status: status(line.Result)?,
-                latency: line.Duration.unwrap_or(0),
-                report: line.Report.map(|report| report.0),
+                server: node.server_id(message.Server)?,
+                status: parse_status(message.Result)?,
+                latency: message.Duration.unwrap_or(0),
+                report: message.Report.map(|report| report.0),
             },
             "Inbox" => {
-                let bytes = line.Bytes.unwrap_or_default();
-                let bytes = BASE64_STANDARD.decode(bytes.as_bytes()).map_err(|e| format!("Bytes: {e}"))?;
-                Event::Peer { from: require_field(line.By, "By")?, bytes }
+                let bytes = message.Bytes.unwrap_or_default();
+                let bytes = BASE64_STANDARD.decode(bytes.as_bytes());
+                let bytes = bytes.map_err(|error| format!("Bytes is not valid base64: {error}"))?;
+                Event::Peer { from: require_field(message.By, "By")?, bytes }
             }
             other => return Err(format!("unknown event {other:?}")),
         })
     }
 }
 
-fn write_action(to: &mut Vec<u8>, node: u64, servers: &NameTable, action: Action) {
-    let mut out = Reply { Node: Some(node), ..Reply::default() };
+/// Appends the line for one action of a node.
+fn write_action(output: &mut Vec<u8>, node: u64, servers: &NameTable, action: Action) {
+    let mut message = OutputMessage { Node: Some(node), ..OutputMessage::default() };
     let hex = |id: RequestId| Some(format!("{:016x}", id.0));
     match action {
         Action::Send { id, server, timeout, .. } => {
-            out.msg = "Issue";
-            out.Req = hex(id);
-            out.Server = Some(servers.name(server.0 as usize));
-            out.Cap = Some(timeout).filter(|&t| t > 0);
+            message.msg = "Issue";
+            message.Req = hex(id);
+            message.Server = Some(servers.name(server.0 as usize));
+            message.Cap = Some(timeout).filter(|&time| time > 0);
         }
         Action::Cancel { id, attempt } => {
-            out.msg = "UndoSend";
-            out.Req = hex(id);
-            out.SendNo = Some(attempt);
+            message.msg = "UndoSend";
+            message.Req = hex(id);
+            message.SendNo = Some(attempt);
         }
         Action::Refuse { id, retry_after } => {
-            out.msg = "Shed";
-            out.Req = hex(id);
-            out.Backoff = Some(retry_after).filter(|&t| t > 0);
+            message.msg = "Shed";
+            message.Req = hex(id);
+            message.Backoff = Some(retry_after).filter(|&time| time > 0);
         }
         Action::Fail { id } => {
-            out.msg = "FinishError";
-            out.Req = hex(id);
+            message.msg = "FinishError";
+            message.Req = hex(id);
         }
         Action::Timer { after, token } => {
-            out.msg = "Arm";
-            out.In = Some(after);
-            out.Tag = Some(token);
+            message.msg = "Arm";
+            message.In = Some(after);
+            message.Tag = Some(token);
         }
         Action::Probe { server } => {
-            out.msg = "Test";
-            out.Server = Some(servers.name(server.0 as usize));
+            message.msg = "Test";
+            message.Server = Some(servers.name(server.0 as usize));
         }
         Action::Tell { to, bytes } => {
-            out.msg = "Share";
-            out.Whom = Some(to.map_or(-1, i64::from));
-            out.Bytes = Some(BASE64_STANDARD.encode(bytes));
+            message.msg = "Share";
+            message.Whom = Some(to.map_or(-1, i64::from));
+            message.Bytes = Some(BASE64_STANDARD.encode(bytes));
         }
         Action::Watch => {
-            out.msg = "Observe";
-            out.Active = Some(true);
+            message.msg = "Observe";
+            message.Active = Some(true);
         }
     }
-    write(to, &out);
+    write_message(output, &message);
 }
 
-fn write(to: &mut Vec<u8>, reply: &Reply) {
-    serde_json::to_writer(&mut *to, reply).expect("plain fields can be written");
-    to.push(b'\n');
+/// Appends one line of output.
+fn write_message(output: &mut Vec<u8>, message: &OutputMessage) {
+    serde_json::to_writer(&mut *output, message).expect("plain fields can be serialized");
+    output.push(b'\n');
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts the decision module on the simulator's wire: events on standard input, actions on
+//! Runs the decision module for the simulator: reads events from standard input and writes actions to
 //! standard output.
 
 use std::io::{self, BufRead, Write};
@@ -9,28 +9,28 @@
 fn main() -> ExitCode {
     let mut input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut host = Adapter::default();
+    let mut adapter = Adapter::default();
     let mut line = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         line.clear();
-        number += 1;
+        line_number += 1;
         let result = match input.read_until(b'\n', &mut line) {
-            Err(error) => Err(format!("cannot read: {error}")),
-            Ok(0) if host.in_batch() => Err("the input ends within a batch".to_owned()),
+            Err(error) => Err(format!("cannot read standard input: {error}")),
+            Ok(0) if adapter.in_batch() => Err("the input ends within a batch; expected Eob".to_owned()),
             Ok(0) => return ExitCode::SUCCESS,
-            Ok(_) => host.handle_line(&line),
+            Ok(_) => adapter.handle_line(&line),
         };
         match result {
             Ok(None) => {}
             Ok(Some(reply)) => {
                 if output.write_all(reply).and_then(|()| output.flush()).is_err() {
-                    // Whoever asked has gone: there is nobody left to answer.
+                    // The simulator closed its end of the pipe, so that no reply can reach it.
                     return ExitCode::FAILURE;
                 }
             }
-            Err(fault) => {
-                eprintln!("merlinfold-drill: line {number}: {fault}");
+            Err(error) => {
+                eprintln!("merlinfold-drill: line {line_number}: {error}");
                 return ExitCode::FAILURE;
             }
         }
--- a/crates/simulator-adapter/tests/fuzz.rs
+++ b/crates/simulator-adapter/tests/fuzz.rs
@@ -1,12 +1,12 @@
-//! Whatever comes on the wire ends in a reply or in a fault, never in a panic.
+//! Tests that any input returns a reply or an error and never panics.
 
 use merlinfold_drill::Adapter;
 use proptest::prelude::*;
 
 const ENV: &str = r#"{"Balancers":2,"Categories":[{"Aim":200000000,"GiveUp":400000000,"Name":"read","Semantics":"repeatable","Worth":1.0}],"Discovery":"push","Limits":{"MaxAttempts":3,"RetryAfter":true,"MaxRetryAfter":900000000},"Locality":"a","Me":1,"Obligations":{"ColdShare":0.2,"RampTime":10000000000,"FallMultiple":3.0,"TipAfter":1000000000},"Zones":["a","b"]}"#;
 
-/// A script that the adapter takes as it stands.
-fn script() -> Vec<String> {
+/// The lines of five batches, all valid.
+fn valid_lines() -> Vec<String> {
     let mut lines = vec![
         r#"{"msg":"Frame","Time":1000000000,"seq":1}"#.to_owned(),
         format!(r#"{{"msg":"Configure","Node":3,"Seed":7,"Env":{ENV}}}"#),
@@ -30,13 +30,15 @@
     lines
 }
 
+/// A change to one line, whose index is taken modulo the number of lines.
 #[derive(Clone, Debug)]
 enum Edit {
-    Byte(usize, usize, u8),
-    Cut(usize, usize),
-    Drop(usize),
-    Twice(usize),
-    Number(usize, String),
+    ReplaceByte(usize, usize, u8),
+    Truncate(usize, usize),
+    Remove(usize),
+    Duplicate(usize),
+    /// Replaces the first number of the line.
+    ReplaceNumber(usize, String),
 }
 
 fn edit() -> impl Strategy<Value = Edit> {
@@ -50,11 +52,12 @@
         any::<u64>().prop_map(|n| n.to_string()),
     ];
     prop_oneof![
-        (any::<usize>(), any::<usize>(), any::<u8>()).prop_map(|(l, at, b)| Edit::Byte(l, at, b)),
-        (any::<usize>(), any::<usize>()).prop_map(|(l, at)| Edit::Cut(l, at)),
-        any::<usize>().prop_map(Edit::Drop),
-        any::<usize>().prop_map(Edit::Twice),
-        (any::<usize>(), number).prop_map(|(l, n)| Edit::Number(l, n)),
+        (any::<usize>(), any::<usize>(), any::<u8>())
+            .prop_map(|(line, at, byte)| Edit::ReplaceByte(line, at, byte)),
+        (any::<usize>(), any::<usize>()).prop_map(|(line, at)| Edit::Truncate(line, at)),
+        any::<usize>().prop_map(Edit::Remove),
+        any::<usize>().prop_map(Edit::Duplicate),
+        (any::<usize>(), number).prop_map(|(line, number)| Edit::ReplaceNumber(line, number)),
     ]
 }
 
@@ -64,27 +67,26 @@
     }
     let count = lines.len();
     match edit {
-        Edit::Byte(line, at, byte) => {
+        Edit::ReplaceByte(line, at, byte) => {
             let line = &mut lines[line % count];
             let length = line.len().max(1);
-            if let Some(place) = line.get_mut(at % length) {
-                *place = byte;
+            if let Some(target) = line.get_mut(at % length) {
+                *target = byte;
             }
         }
-        Edit::Cut(line, at) => {
+        Edit::Truncate(line, at) => {
             let line = &mut lines[line % count];
             line.truncate(at % (line.len() + 1));
         }
-        Edit::Drop(line) => drop(lines.remove(line % count)),
-        Edit::Twice(line) => {
-            let again = lines[line % count].clone();
-            lines.insert(line % count, again);
+        Edit::Remove(line) => drop(lines.remove(line % count)),
+        Edit::Duplicate(line) => {
+            let copy = lines[line % count].clone();
+            lines.insert(line % count, copy);
         }
-        // One of the line's figures becomes something else.
-        Edit::Number(line, number) => {
+        Edit::ReplaceNumber(line, number) => {
             let line = &mut lines[line % count];
-            if let Some(from) = line.windows(2).position(|two| two[0] == b':' && two[1].is_ascii_digit()) {
-                let digits = line[from + 1..].iter().take_while(|b| b.is_ascii_digit()).count();
+            if let Some(from) = line.windows(2).position(|pair| pair[0] == b':' && pair[1].is_ascii_digit()) {
+                let digits = line[from + 1..].iter().take_while(|byte| byte.is_ascii_digit()).count();
                 line.splice(from + 1..from + 1 + digits, number.into_bytes());
             }
         }
@@ -92,14 +94,14 @@
 }
 
 #[test]
-fn time_that_goes_back_or_out_of_bounds_is_named() {
-    for (first, then) in [(2_000_000_000u64, 1_000_000_000u64), (1, u64::MAX), (u64::MAX, u64::MAX)] {
-        let mut host = Adapter::default();
+fn a_time_that_goes_back_or_is_out_of_range_is_named_in_the_error() {
+    for (first, second) in [(2_000_000_000u64, 1_000_000_000u64), (1, u64::MAX), (u64::MAX, u64::MAX)] {
+        let mut adapter = Adapter::default();
         let frame = |time: u64| format!(r#"{{"msg":"Frame","Time":{time},"seq":1}}"#).into_bytes();
-        let mut lines = [frame(first), br#"{"msg":"Eob"}"#.to_vec(), frame(then)].into_iter();
-        let fault =
-            lines.find_map(|line| host.handle_line(&line).err()).expect("one of the times is refused");
-        assert!(fault.contains(&format!("Time {then}")), "{fault}");
+        let mut lines = [frame(first), br#"{"msg":"Eob"}"#.to_vec(), frame(second)].into_iter();
+        let error =
+            lines.find_map(|line| adapter.handle_line(&line).err()).expect("one of the times is refused");
+        assert!(error.contains(&format!("Time {second}")), "{error}");
     }
 }
 
@@ -107,21 +109,21 @@
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_script_with_anything_wrong_ends_in_replies_or_a_fault(edits in prop::collection::vec(edit(), 0..6)) {
-        let mut lines: Vec<Vec<u8>> = script().into_iter().map(String::into_bytes).collect();
-        let whole = edits.is_empty();
+    fn edited_lines_return_replies_or_an_error(edits in prop::collection::vec(edit(), 0..6)) {
+        let mut lines: Vec<Vec<u8>> = valid_lines().into_iter().map(String::into_bytes).collect();
+        let unchanged = edits.is_empty();
         edits.into_iter().for_each(|edit| apply(&mut lines, edit));
-        let mut host = Adapter::default();
+        let mut adapter = Adapter::default();
         let mut replies = 0;
         for line in lines {
-            match host.handle_line(&line) {
+            match adapter.handle_line(&line) {
                 Ok(reply) => replies += usize::from(reply.is_some()),
-                Err(fault) => {
-                    prop_assert!(!fault.is_empty() && !whole);
+                Err(error) => {
+                    prop_assert!(!error.is_empty() && !unchanged);
                     return Ok(());
                 }
             }
         }
-        prop_assert!(!whole || replies == 5);
+        prop_assert!(!unchanged || replies == 5);
     }
 }
