--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -59,93 +59,95 @@
     }
 }
 
-pub struct Node {
-    pub at: Nanos,
+pub struct TestNode {
+    pub now: Nanos,
     pub balancer: Balancer,
-    next: u64,
+    next_request: u64,
 }
 
-impl Node {
+impl TestNode {
     pub fn new(settings: Settings, servers: u32, seed: u64) -> Self {
-        let mut node = Node { at: 100 * S, balancer: Balancer::new(settings, seed), next: 1 };
-        node.list(ListKind::Persisted, (0..servers).map(entry).collect());
+        let mut node = TestNode { now: 100 * S, balancer: Balancer::new(settings, seed), next_request: 1 };
+        node.update_servers(ListKind::Persisted, (0..servers).map(entry).collect());
         node
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.balancer.handle(self.at, event, &mut out);
+        self.balancer.handle(self.now, event, &mut out);
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
-        self.give(Event::Servers { kind, entries })
+    pub fn update_servers(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+        self.handle(Event::Servers { kind, entries })
     }
 
     /// Lets time pass in housekeeping ticks; returns what was done meanwhile.
-    pub fn pass(&mut self, time: Nanos) -> Vec<Action> {
-        let end = self.at + time;
+    pub fn advance(&mut self, time: Nanos) -> Vec<Action> {
+        let end = self.now + time;
         let mut out = Vec::new();
-        while self.at < end {
-            self.at = (self.at + 100 * MS).min(end);
-            out.extend(self.give(Event::Timer(0)));
+        while self.now < end {
+            self.now = (self.now + 100 * MS).min(end);
+            out.extend(self.handle(Event::Timer(0)));
         }
         out
     }
 
     /// Id of the request that is asked next.
     pub fn next_id(&self) -> RequestId {
-        RequestId(self.next)
+        RequestId(self.next_request)
     }
 
-    pub fn ask(&mut self, class: usize, budget: Nanos) -> (RequestId, Vec<Action>) {
-        self.ask_about(None, class, budget)
+    pub fn request(&mut self, class: usize, budget: Nanos) -> (RequestId, Vec<Action>) {
+        self.request_for_key(None, class, budget)
     }
 
-    pub fn ask_about(&mut self, key: Option<u64>, class: usize, budget: Nanos) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+    pub fn request_for_key(
+        &mut self, key: Option<u64>, class: usize, budget: Nanos,
+    ) -> (RequestId, Vec<Action>) {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
         let (tenant, cost_hint, repeat, long) = (None, None, false, false);
         let request = Request { id, class, tenant, key, budget, cost_hint, repeat, long };
-        (id, self.give(Event::Request(request)))
+        (id, self.handle(Event::Request(request)))
     }
 
     /// One whose body is still to come.
-    pub fn ask_long(&mut self, class: usize, budget: Nanos) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+    pub fn request_with_upload(&mut self, class: usize, budget: Nanos) -> (RequestId, Vec<Action>) {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
         let (tenant, key, cost_hint, repeat, long) = (None, None, None, false, true);
         let request = Request { id, class, tenant, key, budget, cost_hint, repeat, long };
-        (id, self.give(Event::Request(request)))
+        (id, self.handle(Event::Request(request)))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self, id: RequestId, attempt: u32, server: ServerId, status: Status, latency: Nanos,
     ) -> Vec<Action> {
         let terminal = status == Status::Ok;
-        self.give(Event::Outcome { id, attempt, server, status, latency, terminal, report: None })
+        self.handle(Event::Outcome { id, attempt, server, status, latency, terminal, report: None })
     }
 
     /// A request that is served after `latency`; returns where.
     pub fn serve(&mut self, class: usize, latency: impl Fn(ServerId) -> Nanos) -> Option<ServerId> {
-        let (id, actions) = self.ask(class, S);
-        let server = sent(&actions)?;
-        self.end(id, 0, server, Status::Ok, latency(server));
+        let (id, actions) = self.request(class, S);
+        let server = sent_to(&actions)?;
+        self.end_attempt(id, 0, server, Status::Ok, latency(server));
         Some(server)
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_refused(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
--- a/crates/decide/tests/mechanism.rs
+++ b/crates/decide/tests/mechanism.rs
@@ -6,11 +6,11 @@
 use merlinfold_decide::interface::*;
 
 /// Sequence of servers once rates are known and steady: one request every `gap`.
-fn sequence(speeds: &[f64], gap: Nanos, length: usize) -> Vec<u32> {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), speeds.len() as u32, 5);
+fn server_sequence(speeds: &[f64], gap: Nanos, length: usize) -> Vec<u32> {
+    let mut node = TestNode::new(settings(vec![class(Effect::Safe)]), speeds.len() as u32, 5);
     let mut turns = Vec::new();
     for _ in 0..3_000 {
-        node.pass(gap);
+        node.advance(gap);
         let served = node.serve(0, |s| (S as f64 / 100.0 / speeds[s.0 as usize]) as Nanos);
         turns.push(served.expect("a server is ready").0);
     }
@@ -19,7 +19,7 @@
 
 #[test]
 fn equal_speeds_give_round_robin() {
-    let turns = sequence(&[1.0; 5], 20 * MS, 50);
+    let turns = server_sequence(&[1.0; 5], 20 * MS, 50);
     for round in turns.windows(5) {
         let mut seen = round.to_vec();
         seen.sort_unstable();
@@ -30,7 +30,7 @@
 /// The paper, section 4: for lambda 1 and mu 1 and 5 the myopic policy repeats 122.
 #[test]
 fn two_servers_of_speeds_1_and_5_repeat_122() {
-    let turns = sequence(&[1.0, 5.0], 10 * MS, 30);
+    let turns = server_sequence(&[1.0, 5.0], 10 * MS, 30);
     let start = turns.iter().position(|&s| s == 0).expect("the slow one gets its turns");
     for (n, &server) in turns[start..].iter().enumerate() {
         assert_eq!(server, u32::from(n % 3 != 0), "{turns:?}");
@@ -40,7 +40,7 @@
 /// The paper, table 1: for lambda 1 and mu 1, 1 and 2 the myopic policy repeats 1323.
 #[test]
 fn three_servers_of_speeds_1_1_and_2_repeat_1323() {
-    let turns = sequence(&[1.0, 1.0, 2.0], 10 * MS, 40);
+    let turns = server_sequence(&[1.0, 1.0, 2.0], 10 * MS, 40);
     for window in turns.windows(4) {
         let count = |s| window.iter().filter(|&&w| w == s).count();
         assert_eq!((count(0), count(1), count(2)), (1, 1, 2), "{turns:?}");
@@ -49,15 +49,15 @@
 
 #[test]
 fn a_draining_server_leaves_the_rotation_at_once_and_turns_stay_even() {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 4, 9);
+    let mut node = TestNode::new(settings(vec![class(Effect::Safe)]), 4, 9);
     for _ in 0..40 {
-        node.at += 20 * MS;
+        node.now += 20 * MS;
         node.serve(0, |_| 10 * MS);
     }
-    node.list(ListKind::Partial, vec![ServerEntry { readiness: Readiness::Draining, ..entry(2) }]);
+    node.update_servers(ListKind::Partial, vec![ServerEntry { readiness: Readiness::Draining, ..entry(2) }]);
     let turns: Vec<u32> = (0..30)
         .map(|_| {
-            node.at += 20 * MS;
+            node.now += 20 * MS;
             node.serve(0, |_| 10 * MS).expect("three are left").0
         })
         .collect();
@@ -69,19 +69,19 @@
 
 #[test]
 fn turns_are_even_again_after_a_server_joins() {
-    let mut node = Node::new(settings(vec![class(Effect::Safe)]), 3, 9);
+    let mut node = TestNode::new(settings(vec![class(Effect::Safe)]), 3, 9);
     for _ in 0..30 {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         node.serve(0, |_| 10 * MS);
     }
-    node.list(ListKind::Partial, vec![entry(3)]);
+    node.update_servers(ListKind::Partial, vec![entry(3)]);
     for _ in 0..40 {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         node.serve(0, |_| 10 * MS);
     }
     let mut counts = [0; 4];
     for _ in 0..40 {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         counts[node.serve(0, |_| 10 * MS).expect("ready").0 as usize] += 1;
     }
     assert_eq!(counts, [10; 4]);
@@ -90,13 +90,13 @@
 #[test]
 fn a_single_server_and_a_single_attempt_are_enough() {
     let set = Settings { max_attempts: 1, ..settings(vec![class(Effect::Safe)]) };
-    let mut node = Node::new(set, 1, 2);
+    let mut node = TestNode::new(set, 1, 2);
     for _ in 0..20 {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         assert_eq!(node.serve(0, |_| 10 * MS), Some(ServerId(0)));
     }
-    let (id, actions) = node.ask(0, S);
-    let server = sent(&actions).expect("sent");
-    let end = node.end(id, 0, server, Status::ConnectFailed, MS);
-    assert!(refused(&end) && sent(&end).is_none());
+    let (id, actions) = node.request(0, S);
+    let server = sent_to(&actions).expect("sent");
+    let end = node.end_attempt(id, 0, server, Status::ConnectFailed, MS);
+    assert!(is_refused(&end) && sent_to(&end).is_none());
 }
--- a/crates/decide/tests/reconfigured.rs
+++ b/crates/decide/tests/reconfigured.rs
@@ -9,17 +9,17 @@
     settings(vec![class(Effect::Safe), class(Effect::Safe)])
 }
 
-fn reconfigure(node: &mut Node, change: impl FnOnce(&mut Figures)) {
+fn reconfigure(node: &mut TestNode, change: impl FnOnce(&mut Figures)) {
     let mut figures = two_classes().figures();
     change(&mut figures);
-    let actions = node.give(Event::Reconfigured(Box::new(figures)));
+    let actions = node.handle(Event::Reconfigured(Box::new(figures)));
     assert!(actions.iter().all(|action| matches!(action, Action::Timer { .. })), "{actions:?}");
 }
 
 /// Servers that requests are sent to, some of which are slower than others.
-fn turns(node: &mut Node, requests: usize) -> Vec<Option<u32>> {
+fn servers_used(node: &mut TestNode, requests: usize) -> Vec<Option<u32>> {
     let serve = |_| {
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         node.serve(0, |server| (10 + 30 * u64::from(server.0 % 3)) * MS).map(|server| server.0)
     };
     (0..requests).map(serve).collect()
@@ -28,50 +28,52 @@
 /// Guards what was learned: a node that takes other figures goes on as one that did not, where they do not matter.
 #[test]
 fn what_was_learned_stays_when_figures_change() {
-    let mut one = Node::new(two_classes(), 6, 3);
-    let mut other = Node::new(two_classes(), 6, 3);
-    assert_eq!(turns(&mut one, 400), turns(&mut other, 400));
+    let mut one = TestNode::new(two_classes(), 6, 3);
+    let mut other = TestNode::new(two_classes(), 6, 3);
+    assert_eq!(servers_used(&mut one, 400), servers_used(&mut other, 400));
     reconfigure(&mut other, |figures| {
         figures.classes[1].worth = 7.0;
         figures.tenants.push(Tenant { quota_per_s: 3.0 });
     });
-    assert_eq!(turns(&mut one, 400), turns(&mut other, 400));
+    assert_eq!(servers_used(&mut one, 400), servers_used(&mut other, 400));
 }
 
 /// Guards "all of the old or all of the new": a request under way keeps the attempts that it came with.
 #[test]
 fn a_request_keeps_the_attempts_that_held_when_it_came() {
-    let mut node = Node::new(two_classes(), 6, 3);
-    let (old, actions) = node.ask(0, S);
-    let first = sent(&actions).unwrap();
+    let mut node = TestNode::new(two_classes(), 6, 3);
+    let (old, actions) = node.request(0, S);
+    let first = sent_to(&actions).unwrap();
     reconfigure(&mut node, |figures| figures.max_attempts = 1);
-    let second = sent(&node.end(old, 0, first, Status::ConnectFailed, MS)).expect("it may have four");
+    let second =
+        sent_to(&node.end_attempt(old, 0, first, Status::ConnectFailed, MS)).expect("it may have four");
     assert_ne!(first, second);
-    let (new, actions) = node.ask(0, S);
-    let only = sent(&actions).unwrap();
-    let actions = node.end(new, 0, only, Status::ConnectFailed, MS);
-    assert_eq!((sent(&actions), refused(&actions)), (None, true), "it may have one");
+    let (new, actions) = node.request(0, S);
+    let only = sent_to(&actions).unwrap();
+    let actions = node.end_attempt(new, 0, only, Status::ConnectFailed, MS);
+    assert_eq!((sent_to(&actions), is_refused(&actions)), (None, true), "it may have one");
 }
 
 /// The same of an answer after its aim, which is worth nothing under the old figures.
 #[test]
 fn a_request_keeps_the_worth_of_a_late_answer_that_held_when_it_came() {
-    let mut node = Node::new(two_classes(), 6, 3);
-    turns(&mut node, 400); // what cannot be answered in time is told by what answers have taken
-    let (old, actions) = node.ask(0, S);
-    let old_at = sent(&actions).unwrap();
+    let mut node = TestNode::new(two_classes(), 6, 3);
+    servers_used(&mut node, 400); // what cannot be answered in time is told by what answers have taken
+    let (old, actions) = node.request(0, S);
+    let old_at = sent_to(&actions).unwrap();
     reconfigure(&mut node, |figures| figures.classes[0].late_worth = 0.5);
-    let (new, actions) = node.ask(0, S);
-    let new_at = sent(&actions).unwrap();
-    node.at += 399 * MS; // the aim is 400 ms
-    let mut goes_on = |id, server| sent(&node.end(id, 0, server, Status::ConnectFailed, 399 * MS)).is_some();
+    let (new, actions) = node.request(0, S);
+    let new_at = sent_to(&actions).unwrap();
+    node.now += 399 * MS; // the aim is 400 ms
+    let mut goes_on =
+        |id, server| sent_to(&node.end_attempt(id, 0, server, Status::ConnectFailed, 399 * MS)).is_some();
     assert!(!goes_on(old, old_at), "late it is worth nothing");
     assert!(goes_on(new, new_at), "late it is worth a half");
 }
 
 #[test]
 fn a_tenant_that_is_added_has_its_quota_and_the_others_keep_their_numbers() {
-    let mut node = Node::new(two_classes(), 6, 3);
+    let mut node = TestNode::new(two_classes(), 6, 3);
     reconfigure(&mut node, |figures| {
         figures.tenants.extend([10.0, f64::INFINITY].map(|quota_per_s| Tenant { quota_per_s }));
     });
@@ -87,6 +89,6 @@
             repeat: false,
             long: false,
         };
-        assert!(sent(&node.give(Event::Request(request))).is_some(), "tenant {tenant}");
+        assert!(sent_to(&node.handle(Event::Request(request))).is_some(), "tenant {tenant}");
     }
 }
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -12,35 +12,35 @@
     Effect::Keyed { group, window: WINDOW }
 }
 
-fn node(effect: Effect, servers: u32) -> Node {
-    Node::new(settings(vec![class(effect)]), servers, 3)
+fn new_node(effect: Effect, servers: u32) -> TestNode {
+    TestNode::new(settings(vec![class(effect)]), servers, 3)
 }
 
 #[test]
 fn no_server_left_is_answered_within_the_wait() {
-    let mut node = node(Effect::Safe, 0);
-    let (_, mut actions) = node.ask(0, S);
-    actions.extend(node.pass(S));
+    let mut node = new_node(Effect::Safe, 0);
+    let (_, mut actions) = node.request(0, S);
+    actions.extend(node.advance(S));
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count(), 1);
 }
 
 #[test]
 fn zero_and_tiny_budgets_are_answered_at_once_or_sent() {
-    let mut node = node(Effect::Safe, 3);
-    let (_, actions) = node.ask(0, 0);
-    assert!(refused(&actions) && sent(&actions).is_none());
-    let (_, actions) = node.ask(0, 1);
-    assert!(refused(&actions) != sent(&actions).is_some());
+    let mut node = new_node(Effect::Safe, 3);
+    let (_, actions) = node.request(0, 0);
+    assert!(is_refused(&actions) && sent_to(&actions).is_none());
+    let (_, actions) = node.request(0, 1);
+    assert!(is_refused(&actions) != sent_to(&actions).is_some());
 }
 
 #[test]
 fn a_time_out_at_the_deadline_is_failed_or_refused_once() {
-    let mut node = node(Effect::Unsafe, 3);
-    let (id, actions) = node.ask(0, S);
-    let server = sent(&actions).expect("sent");
-    node.at += S;
-    let end = node.end(id, 0, server, Status::Timeout, S);
-    assert!(failed(&end) && !refused(&end) && sent(&end).is_none());
+    let mut node = new_node(Effect::Unsafe, 3);
+    let (id, actions) = node.request(0, S);
+    let server = sent_to(&actions).expect("sent");
+    node.now += S;
+    let end = node.end_attempt(id, 0, server, Status::Timeout, S);
+    assert!(is_failed(&end) && !is_refused(&end) && sent_to(&end).is_none());
 }
 
 #[test]
@@ -54,14 +54,14 @@
         (Status::Timeout, false),
         (Status::Cancelled, false),
     ] {
-        let mut node = node(Effect::Unsafe, 6);
-        let (id, actions) = node.ask(0, S);
-        let server = sent(&actions).expect("sent");
-        node.at += MS;
-        let end = node.end(id, 0, server, status, MS);
-        assert_eq!(sent(&end).is_some(), again, "{status:?}");
-        assert_eq!(failed(&end), !again, "{status:?}");
-        assert!(!refused(&end), "{status:?}");
+        let mut node = new_node(Effect::Unsafe, 6);
+        let (id, actions) = node.request(0, S);
+        let server = sent_to(&actions).expect("sent");
+        node.now += MS;
+        let end = node.end_attempt(id, 0, server, status, MS);
+        assert_eq!(sent_to(&end).is_some(), again, "{status:?}");
+        assert_eq!(is_failed(&end), !again, "{status:?}");
+        assert!(!is_refused(&end), "{status:?}");
     }
 }
 
@@ -90,11 +90,11 @@
             for (attempts, after) in [(4, MS), (4, 350 * MS), (1, MS)] {
                 // No server is alone in its cell or zone: where a repeat is allowed there is somewhere to go.
                 let set = Settings { max_attempts: attempts, ..settings(vec![class(effect)]) };
-                let mut node = Node::new(set, 24, 3);
-                let (id, actions) = node.ask(0, S);
-                let server = sent(&actions).expect("sent");
-                node.at += after;
-                let end = node.end(id, 0, server, status, after);
+                let mut node = TestNode::new(set, 24, 3);
+                let (id, actions) = node.request(0, S);
+                let server = sent_to(&actions).expect("sent");
+                node.now += after;
+                let end = node.end_attempt(id, 0, server, status, after);
                 let window = match effect {
                     Effect::Keyed { window, .. } => after < window,
                     Effect::Safe => true,
@@ -103,7 +103,7 @@
                 let again = attempts > 1 && (!may_have_run || window);
                 let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
                 let refuses = !again && (!may_have_run || harmless);
-                let seen = (sent(&end).is_some(), refused(&end), failed(&end));
+                let seen = (sent_to(&end).is_some(), is_refused(&end), is_failed(&end));
                 let wanted = (again, refuses, !again && !refuses);
                 assert_eq!(seen, wanted, "{effect:?} {status:?} after {after} ns, {attempts} attempts");
             }
@@ -115,14 +115,16 @@
 fn a_keyed_request_stays_in_its_group() {
     for group in [Group::All, Group::Zone, Group::Cell] {
         for seed in 0..20 {
-            let mut node = Node::new(settings(vec![class(keyed(group))]), 24, seed);
-            let (id, actions) = node.ask(0, S);
-            let first = sent(&actions).expect("sent").0;
-            node.at += 5 * MS;
-            if let Some(ServerId(second)) = sent(&node.end(id, 0, ServerId(first), Status::Error, 5 * MS)) {
+            let mut node = TestNode::new(settings(vec![class(keyed(group))]), 24, seed);
+            let (id, actions) = node.request(0, S);
+            let first = sent_to(&actions).expect("sent").0;
+            node.now += 5 * MS;
+            if let Some(ServerId(second)) =
+                sent_to(&node.end_attempt(id, 0, ServerId(first), Status::Error, 5 * MS))
+            {
                 assert!(group == Group::All || first % 3 == second % 3);
                 assert!(group != Group::Cell || first % 6 == second % 6);
-                node.end(id, 1, ServerId(second), Status::Ok, 5 * MS);
+                node.end_attempt(id, 1, ServerId(second), Status::Ok, 5 * MS);
             }
         }
     }
@@ -130,15 +132,16 @@
 
 #[test]
 fn a_keyed_repeat_is_measured_from_the_first_attempt_that_might_have_run() {
-    let mut node = node(keyed(Group::All), 9);
-    let (id, actions) = node.ask(0, S);
-    let first = sent(&actions).expect("sent");
-    node.at += 200 * MS;
-    let second = sent(&node.end(id, 0, first, Status::Error, 200 * MS)).expect("within its window");
-    node.at += 101 * MS;
-    let end = node.end(id, 1, second, Status::Error, 101 * MS);
-    assert!(sent(&end).is_none(), "301 ms after the first: the window is over");
-    assert!(refused(&end), "where all servers share the keys a refusal is allowed");
+    let mut node = new_node(keyed(Group::All), 9);
+    let (id, actions) = node.request(0, S);
+    let first = sent_to(&actions).expect("sent");
+    node.now += 200 * MS;
+    let second =
+        sent_to(&node.end_attempt(id, 0, first, Status::Error, 200 * MS)).expect("within its window");
+    node.now += 101 * MS;
+    let end = node.end_attempt(id, 1, second, Status::Error, 101 * MS);
+    assert!(sent_to(&end).is_none(), "301 ms after the first: the window is over");
+    assert!(is_refused(&end), "where all servers share the keys a refusal is allowed");
 }
 
 /// Guards the window where the host is late: its connection may come up after the window is over.
@@ -150,37 +153,37 @@
             _ => None,
         })
     };
-    let mut node = Node::new(settings(vec![class(keyed(Group::All)), class(Effect::Safe)]), 6, 3);
-    let (id, first) = node.ask(0, S);
+    let mut node = TestNode::new(settings(vec![class(keyed(Group::All)), class(Effect::Safe)]), 6, 3);
+    let (id, first) = node.request(0, S);
     assert_eq!(within(&first), Some(None), "a first attempt may go whenever it can");
-    node.at += 100 * MS;
-    let again = node.end(id, 0, sent(&first).unwrap(), Status::ConnectFailed, 100 * MS);
+    node.now += 100 * MS;
+    let again = node.end_attempt(id, 0, sent_to(&first).unwrap(), Status::ConnectFailed, 100 * MS);
     assert_eq!(within(&again), Some(None), "nothing has run yet");
-    node.at += 100 * MS;
-    let last = node.end(id, 1, sent(&again).unwrap(), Status::Reset, 100 * MS);
+    node.now += 100 * MS;
+    let last = node.end_attempt(id, 1, sent_to(&again).unwrap(), Status::Reset, 100 * MS);
     assert_eq!(within(&last), Some(Some(WINDOW - 100 * MS)), "counted from the one that may have run");
-    let (id, first) = node.ask(1, S);
-    let again = node.end(id, 0, sent(&first).unwrap(), Status::Reset, 0);
+    let (id, first) = node.request(1, S);
+    let again = node.end_attempt(id, 0, sent_to(&first).unwrap(), Status::Reset, 0);
     assert_eq!(within(&again), Some(None), "a safe one is known for ever");
 }
 
 #[test]
 fn a_keyed_request_of_a_zone_is_failed_not_refused_once_it_may_have_run() {
-    let mut node = node(keyed(Group::Zone), 1);
-    let (id, actions) = node.ask(0, S);
-    let server = sent(&actions).expect("sent");
-    node.at += 350 * MS;
-    let end = node.end(id, 0, server, Status::Error, 350 * MS);
-    assert!(failed(&end) && !refused(&end));
+    let mut node = new_node(keyed(Group::Zone), 1);
+    let (id, actions) = node.request(0, S);
+    let server = sent_to(&actions).expect("sent");
+    node.now += 350 * MS;
+    let end = node.end_attempt(id, 0, server, Status::Error, 350 * MS);
+    assert!(is_failed(&end) && !is_refused(&end));
 }
 
 #[test]
 fn a_client_that_leaves_is_owed_nothing_and_its_attempt_is_still_accounted_for() {
-    let mut node = node(Effect::Safe, 3);
-    let (id, actions) = node.ask(0, S);
-    let server = sent(&actions).expect("sent");
-    assert!(node.give(Event::Gone(id)).is_empty());
-    let late = node.give(Event::Outcome {
+    let mut node = new_node(Effect::Safe, 3);
+    let (id, actions) = node.request(0, S);
+    let server = sent_to(&actions).expect("sent");
+    assert!(node.handle(Event::Gone(id)).is_empty());
+    let late = node.handle(Event::Outcome {
         id,
         attempt: 0,
         server,
@@ -194,12 +197,12 @@
 
 #[test]
 fn a_begun_stream_gets_no_other_answer() {
-    let mut node = node(Effect::Safe, 3);
-    let (id, actions) = node.ask(0, S);
-    let server = sent(&actions).expect("sent");
-    node.give(Event::Begun { id, attempt: 0, latency: MS });
-    node.at += 3 * S;
-    let end = node.give(Event::Outcome {
+    let mut node = new_node(Effect::Safe, 3);
+    let (id, actions) = node.request(0, S);
+    let server = sent_to(&actions).expect("sent");
+    node.handle(Event::Begun { id, attempt: 0, latency: MS });
+    node.now += 3 * S;
+    let end = node.handle(Event::Outcome {
         id,
         attempt: 0,
         server,
@@ -214,10 +217,10 @@
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
     for readiness in [Readiness::Draining, Readiness::Gone] {
-        let mut node = node(Effect::Safe, 2);
-        node.list(ListKind::Partial, vec![ServerEntry { readiness, ..entry(0) }]);
+        let mut node = new_node(Effect::Safe, 2);
+        node.update_servers(ListKind::Partial, vec![ServerEntry { readiness, ..entry(0) }]);
         for _ in 0..50 {
-            node.at += 20 * MS;
+            node.now += 20 * MS;
             assert_eq!(node.serve(0, |_| 10 * MS), Some(ServerId(1)));
         }
     }
@@ -225,81 +228,81 @@
 
 #[test]
 fn a_server_missing_from_a_full_list_is_gone() {
-    let mut node = node(Effect::Safe, 3);
-    node.list(ListKind::Complete, vec![entry(1)]);
+    let mut node = new_node(Effect::Safe, 3);
+    node.update_servers(ListKind::Complete, vec![entry(1)]);
     for _ in 0..20 {
-        node.at += 20 * MS;
+        node.now += 20 * MS;
         assert_eq!(node.serve(0, |_| 10 * MS), Some(ServerId(1)));
     }
 }
 
 #[test]
 fn out_by_hand_lasts_whatever_the_list_says_until_one_call_back_and_the_return_is_cold() {
-    let mut node = node(Effect::Safe, 2);
-    let out = |node: &mut Node, out| {
-        node.give(Event::Maintenance { server: ServerId(0), out, since: node.at });
+    let mut node = new_node(Effect::Safe, 2);
+    let out = |node: &mut TestNode, out| {
+        node.handle(Event::Maintenance { server: ServerId(0), out, since: node.now });
     };
-    let only_the_other = |node: &mut Node, when: &str| {
+    let only_the_other = |node: &mut TestNode, when: &str| {
         for _ in 0..50 {
-            node.at += 20 * MS;
+            node.now += 20 * MS;
             assert_eq!(node.serve(0, |_| 10 * MS), Some(ServerId(1)), "{when}");
         }
     };
     out(&mut node, true);
     out(&mut node, true);
     only_the_other(&mut node, "out");
-    assert_eq!(node.balancer.avoided(node.at), 1);
-    node.list(ListKind::Partial, vec![ServerEntry { readiness: Readiness::Gone, ..entry(0) }]);
+    assert_eq!(node.balancer.avoided(node.now), 1);
+    node.update_servers(ListKind::Partial, vec![ServerEntry { readiness: Readiness::Gone, ..entry(0) }]);
     only_the_other(&mut node, "gone as well");
-    node.list(ListKind::Partial, vec![ServerEntry { since: node.at, ..entry(0) }]);
+    node.update_servers(ListKind::Partial, vec![ServerEntry { since: node.now, ..entry(0) }]);
     only_the_other(&mut node, "started anew");
-    node.list(ListKind::Complete, vec![entry(0), entry(1)]);
+    node.update_servers(ListKind::Complete, vec![entry(0), entry(1)]);
     only_the_other(&mut node, "in a whole list");
     out(&mut node, false);
-    assert!(node.balancer.is_ready(ServerId(0)) && node.balancer.avoided(node.at) == 0);
-    node.list(ListKind::Complete, vec![entry(0), entry(1)]); // which has it as started long ago
+    assert!(node.balancer.is_ready(ServerId(0)) && node.balancer.avoided(node.now) == 0);
+    node.update_servers(ListKind::Complete, vec![entry(0), entry(1)]); // which has it as started long ago
     let mut back = 0;
     for _ in 0..50 {
-        node.at += 2 * MS;
+        node.now += 2 * MS;
         back += usize::from(node.serve(0, |_| 10 * MS) == Some(ServerId(0)));
     }
     assert!((1..15).contains(&back), "{back} of the first 50 went to a server that is cold");
-    assert!(!refused(&node.ask(0, S).1));
+    assert!(!is_refused(&node.request(0, S).1));
 }
 
 #[test]
 fn with_all_servers_out_requests_are_refused_at_once_and_served_again_after_one_is_back() {
-    let mut node = node(Effect::Safe, 2);
-    let since = node.at;
+    let mut node = new_node(Effect::Safe, 2);
+    let since = node.now;
     for n in 0..2 {
-        node.give(Event::Maintenance { server: ServerId(n), out: true, since });
+        node.handle(Event::Maintenance { server: ServerId(n), out: true, since });
     }
-    assert!(refused(&node.ask(0, S).1));
-    node.give(Event::Maintenance { server: ServerId(1), out: false, since });
-    assert!(!refused(&node.ask(0, S).1));
+    assert!(is_refused(&node.request(0, S).1));
+    node.handle(Event::Maintenance { server: ServerId(1), out: false, since });
+    assert!(!is_refused(&node.request(0, S).1));
 }
 
 /// Guards against refusals for uploads: while a body is still coming no server works on it.
 #[test]
 fn long_requests_on_their_way_keep_no_server_busy_and_refuse_nobody() {
-    let mut node = node(Effect::Safe, 4);
+    let mut node = new_node(Effect::Safe, 4);
     for _ in 0..50 {
-        node.at += 20 * MS;
+        node.now += 20 * MS;
         node.serve(0, |_| 10 * MS);
     }
     let mut coming = Vec::new();
     for _ in 0..100 {
-        let (id, actions) = node.ask_long(0, S);
-        coming.push((id, sent(&actions).expect("sent at once")));
-        node.at += 5 * MS;
+        let (id, actions) = node.request_with_upload(0, S);
+        coming.push((id, sent_to(&actions).expect("sent at once")));
+        node.now += 5 * MS;
         assert!(node.serve(0, |_| 10 * MS).is_some(), "after {} long ones", coming.len());
     }
-    node.pass(5 * S);
+    node.advance(5 * S);
     for (id, server) in coming {
-        node.give(Event::Uploaded(id));
+        node.handle(Event::Uploaded(id));
         let latency = 10 * MS;
-        node.at += latency;
-        assert!(!failed(&node.end(id, 0, server, Status::Ok, latency)));
+        node.now += latency;
+        assert!(!is_failed(&node.end_attempt(id, 0, server, Status::Ok, latency)));
     }
     assert!(node.serve(0, |_| 10 * MS).is_some());
 }
@@ -307,67 +310,67 @@
 /// A long request that never reached its server may go out again, in the time that it has from its last byte on.
 #[test]
 fn a_long_request_has_its_time_from_its_last_byte_on() {
-    let mut node = Node::new(settings(vec![class(Effect::Unsafe)]), 3, 3);
-    let (id, actions) = node.ask_long(0, S);
-    let server = sent(&actions).expect("sent");
-    node.pass(3 * S);
-    node.give(Event::Uploaded(id));
-    node.at += 10 * MS;
-    let again = node.end(id, 0, server, Status::Full, 10 * MS);
-    assert!(sent(&again).is_some(), "turned away unseen: another may take it");
+    let mut node = TestNode::new(settings(vec![class(Effect::Unsafe)]), 3, 3);
+    let (id, actions) = node.request_with_upload(0, S);
+    let server = sent_to(&actions).expect("sent");
+    node.advance(3 * S);
+    node.handle(Event::Uploaded(id));
+    node.now += 10 * MS;
+    let again = node.end_attempt(id, 0, server, Status::Full, 10 * MS);
+    assert!(sent_to(&again).is_some(), "turned away unseen: another may take it");
 }
 
 #[test]
 fn asking_for_the_list_goes_on_after_failures_and_stops_when_subscribed() {
     let set = Settings { discovery: Discovery::Ask, ..settings(vec![class(Effect::Safe)]) };
-    let mut node = Node::new(set, 3, 8);
+    let mut node = TestNode::new(set, 3, 8);
     let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
     for _ in 0..6 {
         let mut asked = 0;
         for _ in 0..100 {
-            asked += watches(&node.pass(100 * MS));
+            asked += watches(&node.advance(100 * MS));
             if asked > 0 {
                 break;
             }
         }
         assert_eq!(asked, 1, "asked again within the ten seconds allowed");
-        node.list(ListKind::Failed, vec![]);
+        node.update_servers(ListKind::Failed, vec![]);
     }
-    node.pass(10 * S);
-    node.list(ListKind::Partial, vec![]);
-    assert_eq!(watches(&node.pass(60 * S)), 0, "subscribed: no further call");
+    node.advance(10 * S);
+    node.update_servers(ListKind::Partial, vec![]);
+    assert_eq!(watches(&node.advance(60 * S)), 0, "subscribed: no further call");
 }
 
 /// The budget of rule 4 over every window, all nodes together, at a fleet of four servers of `cores`
 /// of which `back` tells the restarted ones, asked for five sixths of what all can do when warm.
-fn cold_sends_stay_in_budget(nodes: u32, cores: u64, back: impl Fn(Nanos) -> Vec<ServerEntry>) {
+fn check_cold_server_budget(nodes: u32, cores: u64, back: impl Fn(Nanos) -> Vec<ServerEntry>) {
     let service = 20 * MS;
-    let mut fleet: Vec<Node> = (0..nodes)
+    let mut fleet: Vec<TestNode> = (0..nodes)
         .map(|me| {
             let set = Settings { me, nodes, ..settings(vec![class(Effect::Safe)]) };
-            Node::new(set, 4, u64::from(me) + 1)
+            TestNode::new(set, 4, u64::from(me) + 1)
         })
         .collect();
     let mut at = 100 * S;
     for turn in 0..400 {
         at += 10 * MS;
         let node = &mut fleet[turn % nodes as usize];
-        node.at = at;
-        node.give(Event::Timer(0));
+        node.now = at;
+        node.handle(Event::Timer(0));
         node.serve(0, |_| service);
     }
     let start = at;
     for node in &mut fleet {
-        node.at = at;
-        node.list(ListKind::Partial, back(start));
+        node.now = at;
+        node.update_servers(ListKind::Partial, back(start));
     }
     let mut cold: Vec<Nanos> = Vec::new();
     for turn in 0..8_000 {
         at += 6 * MS / cores;
         let node = &mut fleet[(turn * 7) % nodes as usize];
-        node.at = at;
+        node.now = at;
         if turn % 20 == 0 {
-            node.give(Event::Timer(0));
+            node.handle(Event::Timer(0));
         }
         if node.serve(0, |_| service) == Some(ServerId(0)) {
             cold.push(at);
@@ -385,7 +388,7 @@
 #[test]
 fn a_restart_under_the_same_id_is_not_pushed_over() {
     for (nodes, cores) in [(1, 1), (4, 1), (60, 1), (600, 1), (1, 6), (60, 6), (600, 6)] {
-        cold_sends_stay_in_budget(nodes, cores, |since| vec![ServerEntry { since, ..entry(0) }]);
+        check_cold_server_budget(nodes, cores, |since| vec![ServerEntry { since, ..entry(0) }]);
     }
 }
 
@@ -393,11 +396,11 @@
 fn a_returning_zone_is_not_pushed_over() {
     for (nodes, cores) in [(1, 1), (4, 1), (60, 1), (600, 1), (1, 6), (60, 6), (600, 6)] {
         let zone = |since| (0..3).map(|n| ServerEntry { since, ..entry(n) }).collect();
-        cold_sends_stay_in_budget(nodes, cores, zone);
+        check_cold_server_budget(nodes, cores, zone);
     }
 }
 
-fn bound(effect: Effect, zones: Option<Vec<u16>>, kinds: Option<Vec<u16>>) -> Class {
+fn placed_class(effect: Effect, zones: Option<Vec<u16>>, kinds: Option<Vec<u16>>) -> Class {
     Class { placement: Placement { zones, kinds }, ..class(effect) }
 }
 
@@ -407,23 +410,23 @@
         let set = Settings {
             warm_keys: true,
             zone: 2,
-            ..settings(vec![bound(Effect::Safe, zones.clone(), kinds.clone())])
+            ..settings(vec![placed_class(Effect::Safe, zones.clone(), kinds.clone())])
         };
-        let mut node = Node::new(set, 12, 5);
+        let mut node = TestNode::new(set, 12, 5);
         let place = Placement { zones, kinds };
         let mut visited = std::collections::BTreeSet::new();
         for turn in 0..200u64 {
-            node.pass(20 * MS);
-            let (id, mut actions) = node.ask_about(Some(turn % 9), 0, S);
+            node.advance(20 * MS);
+            let (id, mut actions) = node.request_for_key(Some(turn % 9), 0, S);
             for attempt in 0.. {
-                let Some(server) = sent(&actions) else { break };
+                let Some(server) = sent_to(&actions) else { break };
                 let at = entry(server.0);
                 assert!(place.allows(&at), "attempt {attempt} went to {server:?}");
                 visited.insert(server);
                 // All sorts of trouble, so that every fallback is taken.
                 let status =
                     [Status::Full, Status::Error, Status::Ok, Status::ConnectFailed][turn as usize % 4];
-                actions = node.end(id, attempt, server, status, 10 * MS);
+                actions = node.end_attempt(id, attempt, server, status, 10 * MS);
             }
         }
         let open = (0..12).map(entry).filter(|e| place.allows(e)).count();
@@ -434,24 +437,24 @@
 #[test]
 fn a_bound_class_whose_servers_are_all_away_waits_or_ends_in_time() {
     for kinds in [vec![1], vec![7], vec![]] {
-        let set = settings(vec![bound(Effect::Safe, None, Some(kinds)), class(Effect::Safe)]);
-        let mut node = Node::new(set, 6, 5);
+        let set = settings(vec![placed_class(Effect::Safe, None, Some(kinds)), class(Effect::Safe)]);
+        let mut node = TestNode::new(set, 6, 5);
         let away = (0..6).filter(|n| n % 2 == 1);
         let away = away.map(|n| ServerEntry { readiness: Readiness::Draining, ..entry(n) }).collect();
-        node.list(ListKind::Partial, away);
-        let (_, mut actions) = node.ask(0, S);
-        actions.extend(node.pass(S));
-        assert!(sent(&actions).is_none() && refused(&actions));
+        node.update_servers(ListKind::Partial, away);
+        let (_, mut actions) = node.request(0, S);
+        actions.extend(node.advance(S));
+        assert!(sent_to(&actions).is_none() && is_refused(&actions));
         assert!(node.serve(1, |_| 10 * MS).is_some(), "others are served meanwhile");
     }
 }
 
 /// Further attempts that `node` makes for one request whose attempts all end in `status`.
-fn further(node: &mut Node, status: Status) -> usize {
-    let (id, mut actions) = node.ask(0, S);
+fn further_attempts(node: &mut TestNode, status: Status) -> usize {
+    let (id, mut actions) = node.request(0, S);
     let mut attempts = 0;
-    while let Some(server) = sent(&actions) {
-        actions = node.end(id, attempts, server, status, MS);
+    while let Some(server) = sent_to(&actions) {
+        actions = node.end_attempt(id, attempts, server, status, MS);
         attempts += 1;
     }
     attempts.saturating_sub(1) as usize
@@ -462,15 +465,15 @@
     for status in [Status::Error, Status::ConnectFailed, Status::Reset] {
         let budget = AttemptBudget { free: 2.0, share: 0.25, span: 5 * S };
         let set = Settings { attempt_budget: Some(budget), ..settings(vec![class(Effect::Safe)]) };
-        let mut node = Node::new(set, 12, 4);
+        let mut node = TestNode::new(set, 12, 4);
         let (mut taken, mut made): (Vec<Nanos>, Vec<Nanos>) = (vec![], vec![]);
         for turn in 0..600u64 {
-            node.pass(if turn % 50 == 0 { 6 * S } else { 10 * MS });
-            taken.push(node.at);
+            node.advance(if turn % 50 == 0 { 6 * S } else { 10 * MS });
+            taken.push(node.now);
             // Troubles come and go, so that there is always a server worth another attempt.
             let status = if turn % 7 < 3 { status } else { Status::Ok };
-            made.extend(vec![node.at; further(&mut node, status)]);
-            let within = |times: &[Nanos]| times.iter().filter(|&&t| t + 5 * S >= node.at).count() as f64;
+            made.extend(vec![node.now; further_attempts(&mut node, status)]);
+            let within = |times: &[Nanos]| times.iter().filter(|&&t| t + 5 * S >= node.now).count() as f64;
             assert!(within(&made) <= 2.0 + 0.25 * within(&taken), "turn {turn}");
         }
         assert!(made.len() > 60, "the budget is there to be used: {}", made.len());
@@ -481,27 +484,35 @@
 fn the_budget_counts_to_the_nanosecond_and_from_nothing_after_a_restart() {
     let budget = AttemptBudget { free: 1.0, share: 0.0, span: 5 * S };
     let set = Settings { attempt_budget: Some(budget), ..settings(vec![class(Effect::Safe)]) };
-    let start = || Node::new(set.clone(), 9, 4);
+    let start = || TestNode::new(set.clone(), 9, 4);
     let mut node = start();
-    assert_eq!(further(&mut node, Status::ConnectFailed), 1);
-    node.at += 5 * S;
-    assert_eq!(further(&mut node, Status::ConnectFailed), 0, "the first is still in a window of 5 s");
-    node.at += 1;
-    assert_eq!(further(&mut node, Status::ConnectFailed), 1);
-    assert_eq!(further(&mut start(), Status::ConnectFailed), 1, "a restarted node has spent nothing");
+    assert_eq!(further_attempts(&mut node, Status::ConnectFailed), 1);
+    node.now += 5 * S;
+    assert_eq!(
+        further_attempts(&mut node, Status::ConnectFailed),
+        0,
+        "the first is still in a window of 5 s"
+    );
+    node.now += 1;
+    assert_eq!(further_attempts(&mut node, Status::ConnectFailed), 1);
+    assert_eq!(
+        further_attempts(&mut start(), Status::ConnectFailed),
+        1,
+        "a restarted node has spent nothing"
+    );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(usize, Nanos),
-    Upload(usize, Nanos),
-    Uploaded(usize),
-    End(usize, Status),
-    Leave(usize),
-    Wait(Nanos),
-    Server(u32, Readiness, bool),
-    Maintain(u32, bool),
-    Failed,
+    Request(usize, Nanos),
+    LongRequest(usize, Nanos),
+    EndUpload(usize),
+    EndAttempt(usize, Status),
+    CancelRequest(usize),
+    Advance(Nanos),
+    UpdateServer(u32, Readiness, bool),
+    SetMaintenance(u32, bool),
+    ListFailed,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -518,59 +529,59 @@
     ]);
     let readiness = prop::sample::select(vec![Readiness::Ready, Readiness::Draining, Readiness::Gone]);
     prop_oneof![
-        4 => (0usize..7, prop::sample::select(vec![0, 1, 5 * MS, 300 * MS, S])).prop_map(|(c, b)| Step::Ask(c, b)),
-        1 => (0usize..7, prop::sample::select(vec![5 * MS, S])).prop_map(|(c, b)| Step::Upload(c, b)),
-        1 => (0usize..64).prop_map(Step::Uploaded),
-        4 => (0usize..64, status).prop_map(|(n, s)| Step::End(n, s)),
-        1 => (0usize..64).prop_map(Step::Leave),
-        2 => (0u64..120).prop_map(|ms| Step::Wait(ms * MS)),
-        1 => (0u32..8, readiness, any::<bool>()).prop_map(|(n, r, b)| Step::Server(n, r, b)),
-        1 => (0u32..8, any::<bool>()).prop_map(|(n, out)| Step::Maintain(n, out)),
-        1 => Just(Step::Failed),
+        4 => (0usize..7, prop::sample::select(vec![0, 1, 5 * MS, 300 * MS, S])).prop_map(|(c, b)| Step::Request(c, b)),
+        1 => (0usize..7, prop::sample::select(vec![5 * MS, S])).prop_map(|(c, b)| Step::LongRequest(c, b)),
+        1 => (0usize..64).prop_map(Step::EndUpload),
+        4 => (0usize..64, status).prop_map(|(n, s)| Step::EndAttempt(n, s)),
+        1 => (0usize..64).prop_map(Step::CancelRequest),
+        2 => (0u64..120).prop_map(|ms| Step::Advance(ms * MS)),
+        1 => (0u32..8, readiness, any::<bool>()).prop_map(|(n, r, b)| Step::UpdateServer(n, r, b)),
+        1 => (0u32..8, any::<bool>()).prop_map(|(n, out)| Step::SetMaintenance(n, out)),
+        1 => Just(Step::ListFailed),
     ]
 }
 
 const BUDGET: AttemptBudget = AttemptBudget { free: 3.0, share: 0.2, span: 500 * MS };
 
-struct Owed {
+struct TrackedRequest {
     class: usize,
     deadline: Nanos,
     answers: u32,
-    sends: Vec<(u32, Nanos, Option<Status>)>,
+    attempts: Vec<(u32, Nanos, Option<Status>)>,
 }
 
 /// The rules seen from outside, over any sequence of events.
-struct Watcher {
-    node: Node,
+struct RuleChecker {
+    node: TestNode,
     classes: Vec<Class>,
-    asked: Vec<Nanos>,
-    further: Vec<Nanos>,
-    ready: std::collections::BTreeSet<u32>, // by the list
-    out: std::collections::BTreeSet<u32>,   // by hand
-    owed: std::collections::BTreeMap<RequestId, Owed>,
+    arrivals: Vec<Nanos>,
+    further_attempts: Vec<Nanos>,
+    ready_in_list: std::collections::BTreeSet<u32>, // by the list
+    in_maintenance: std::collections::BTreeSet<u32>, // by hand
+    requests: std::collections::BTreeMap<RequestId, TrackedRequest>,
 }
 
-impl Watcher {
-    fn take(&mut self, actions: Vec<Action>) {
-        let now = self.node.at;
+impl RuleChecker {
+    fn check_actions(&mut self, actions: Vec<Action>) {
+        let now = self.node.now;
         for action in actions {
             match action {
                 Action::Send { id, server: ServerId(server), .. } => {
-                    let owed = self.owed.get_mut(&id).expect("a request that was given");
+                    let owed = self.requests.get_mut(&id).expect("a request that was given");
                     assert_eq!(owed.answers, 0, "sent after its end");
-                    assert!(self.ready.contains(&server), "sent to a server that takes nothing");
-                    assert!(!self.out.contains(&server), "sent to a server that was taken out");
-                    assert!(owed.sends.iter().all(|(.., s)| s.is_some()), "two attempts at once");
+                    assert!(self.ready_in_list.contains(&server), "sent to a server that takes nothing");
+                    assert!(!self.in_maintenance.contains(&server), "sent to a server that was taken out");
+                    assert!(owed.attempts.iter().all(|(.., s)| s.is_some()), "two attempts at once");
                     let (class, at) = (&self.classes[owed.class], entry(server));
                     assert!(class.placement.allows(&at), "outside of its placement");
-                    if !owed.sends.is_empty() {
-                        self.further.push(now);
+                    if !owed.attempts.is_empty() {
+                        self.further_attempts.push(now);
                         let within =
                             |t: &[Nanos]| t.iter().filter(|&&t| t + BUDGET.span >= now).count() as f64;
-                        let allowed = BUDGET.free + BUDGET.share * within(&self.asked);
-                        assert!(within(&self.further) <= allowed, "beyond the budget of attempts");
+                        let allowed = BUDGET.free + BUDGET.share * within(&self.arrivals);
+                        assert!(within(&self.further_attempts) <= allowed, "beyond the budget of attempts");
                     }
-                    let ran = owed.sends.iter().find(|(.., s)| !s.is_some_and(Status::never_ran));
+                    let ran = owed.attempts.iter().find(|(.., s)| !s.is_some_and(Status::never_ran));
                     match (class.effect, ran) {
                         (Effect::Safe, _) | (_, None) => {}
                         (Effect::Unsafe, Some(_)) => panic!("may have run twice"),
@@ -580,68 +591,72 @@
                             assert!(group != Group::Cell || server % 6 == first % 6);
                         }
                     }
-                    owed.sends.push((server, now, None));
-                    assert!(owed.sends.len() <= 4);
+                    owed.attempts.push((server, now, None));
+                    assert!(owed.attempts.len() <= 4);
                 }
                 Action::Refuse { id, retry_after } => {
                     assert!((1..=S).contains(&retry_after), "advice that clients do not heed: {retry_after}");
-                    let owed = self.owed.get_mut(&id).expect("a request that was given");
+                    let owed = self.requests.get_mut(&id).expect("a request that was given");
                     owed.answers += 1;
-                    let clean = owed.sends.iter().all(|(.., s)| s.is_some_and(Status::never_ran));
+                    let clean = owed.attempts.iter().all(|(.., s)| s.is_some_and(Status::never_ran));
                     let free = matches!(
                         self.classes[owed.class].effect,
                         Effect::Safe | Effect::Keyed { group: Group::All, .. }
                     );
                     assert!(clean || free, "refused though it may have run");
                 }
-                Action::Fail { id } => self.owed.get_mut(&id).expect("a request that was given").answers += 1,
+                Action::Fail { id } => {
+                    self.requests.get_mut(&id).expect("a request that was given").answers += 1
+                }
                 _ => {}
             }
         }
-        assert!(self.owed.values().all(|o| o.answers <= 1), "two answers");
+        assert!(self.requests.values().all(|o| o.answers <= 1), "two answers");
     }
 
-    fn end(&mut self, id: RequestId, attempt: usize, status: Status) {
-        let owed = self.owed.get_mut(&id).expect("known");
-        let (server, at, _) = owed.sends[attempt];
-        owed.sends[attempt].2 = Some(status);
+    fn end_attempt(&mut self, id: RequestId, attempt: usize, status: Status) {
+        let owed = self.requests.get_mut(&id).expect("known");
+        let (server, at, _) = owed.attempts[attempt];
+        owed.attempts[attempt].2 = Some(status);
         let terminal = owed.answers > 0 || status == Status::Ok;
         if status == Status::Ok && owed.answers == 0 {
             owed.answers = 1;
         }
-        let latency = self.node.at - at;
+        let latency = self.node.now - at;
         let server = ServerId(server);
         let attempt = attempt as u32;
         let event = Event::Outcome { id, attempt, server, status, latency, terminal, report: None };
-        let actions = self.node.give(event);
-        self.take(actions);
+        let actions = self.node.handle(event);
+        self.check_actions(actions);
     }
 
-    fn open(&self) -> Vec<(RequestId, usize)> {
-        let open = |(id, o): (&RequestId, &Owed)| o.sends.last().and_then(|s| s.2.is_none().then_some(*id));
-        self.owed.iter().filter_map(open).map(|id| (id, self.owed[&id].sends.len() - 1)).collect()
+    fn open_attempts(&self) -> Vec<(RequestId, usize)> {
+        let open = |(id, o): (&RequestId, &TrackedRequest)| {
+            o.attempts.last().and_then(|s| s.2.is_none().then_some(*id))
+        };
+        self.requests.iter().filter_map(open).map(|id| (id, self.requests[&id].attempts.len() - 1)).collect()
     }
 
     /// Time passes as the host lets it pass: attempts end at the client's deadline at the latest.
-    fn wait(&mut self, time: Nanos) {
-        let until = self.node.at + time;
-        while self.node.at < until {
-            self.node.at = (self.node.at + 10 * MS).min(until);
-            for (id, attempt) in self.open() {
-                if self.owed[&id].deadline <= self.node.at {
-                    self.end(id, attempt, Status::Timeout);
+    fn advance(&mut self, time: Nanos) {
+        let until = self.node.now + time;
+        while self.node.now < until {
+            self.node.now = (self.node.now + 10 * MS).min(until);
+            for (id, attempt) in self.open_attempts() {
+                if self.requests[&id].deadline <= self.node.now {
+                    self.end_attempt(id, attempt, Status::Timeout);
                 }
             }
-            let actions = self.node.give(Event::Timer(0));
-            self.take(actions);
-            for owed in self.owed.values() {
-                assert!(owed.answers == 1 || owed.deadline + 16 * MS > self.node.at, "no answer in time");
+            let actions = self.node.handle(Event::Timer(0));
+            self.check_actions(actions);
+            for owed in self.requests.values() {
+                assert!(owed.answers == 1 || owed.deadline + 16 * MS > self.node.now, "no answer in time");
             }
         }
     }
 }
 
-impl Watcher {
+impl RuleChecker {
     fn new() -> Self {
         let classes = vec![
             class(Effect::Safe),
@@ -649,94 +664,102 @@
             class(keyed(Group::All)),
             class(keyed(Group::Zone)),
             class(keyed(Group::Cell)),
-            bound(Effect::Safe, Some(vec![0, 2]), None),
-            bound(keyed(Group::Zone), None, Some(vec![1])),
+            placed_class(Effect::Safe, Some(vec![0, 2]), None),
+            placed_class(keyed(Group::Zone), None, Some(vec![1])),
         ];
         let set = Settings { attempt_budget: Some(BUDGET), ..settings(classes.clone()) };
-        let node = Node::new(set, 6, 17);
+        let node = TestNode::new(set, 6, 17);
         let (ready, owed) = ((0..6).collect(), Default::default());
-        Watcher { node, classes, asked: vec![], further: vec![], ready, out: Default::default(), owed }
+        RuleChecker {
+            node,
+            classes,
+            arrivals: vec![],
+            further_attempts: vec![],
+            ready_in_list: ready,
+            in_maintenance: Default::default(),
+            requests: owed,
+        }
     }
 
-    fn ask(&mut self, class: usize, budget: Nanos, long: bool) {
+    fn request(&mut self, class: usize, budget: Nanos, long: bool) {
         let id = self.node.next_id();
-        let deadline = self.node.at + budget;
-        self.asked.push(self.node.at);
-        self.owed.insert(id, Owed { class, deadline, answers: 0, sends: vec![] });
+        let deadline = self.node.now + budget;
+        self.arrivals.push(self.node.now);
+        self.requests.insert(id, TrackedRequest { class, deadline, answers: 0, attempts: vec![] });
         let (_, actions) = match long {
-            true => self.node.ask_long(class, budget),
-            false => self.node.ask(class, budget),
+            true => self.node.request_with_upload(class, budget),
+            false => self.node.request(class, budget),
         };
-        self.take(actions);
+        self.check_actions(actions);
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask(class, budget) => self.ask(class, budget, false),
-            Step::Upload(class, budget) => self.ask(class, budget, true),
-            Step::Uploaded(n) => {
-                let open = self.open();
+            Step::Request(class, budget) => self.request(class, budget, false),
+            Step::LongRequest(class, budget) => self.request(class, budget, true),
+            Step::EndUpload(n) => {
+                let open = self.open_attempts();
                 if let Some(&(id, _)) = open.get(n % open.len().max(1)) {
-                    let actions = self.node.give(Event::Uploaded(id));
-                    self.take(actions);
+                    let actions = self.node.handle(Event::Uploaded(id));
+                    self.check_actions(actions);
                 }
             }
-            Step::End(n, status) => {
-                let open = self.open();
+            Step::EndAttempt(n, status) => {
+                let open = self.open_attempts();
                 if let Some(&(id, attempt)) = open.get(n % open.len().max(1)) {
-                    self.end(id, attempt, status);
+                    self.end_attempt(id, attempt, status);
                 }
             }
-            Step::Leave(n) => {
+            Step::CancelRequest(n) => {
                 let live: Vec<RequestId> =
-                    self.owed.iter().filter(|(_, o)| o.answers == 0).map(|(id, _)| *id).collect();
+                    self.requests.iter().filter(|(_, o)| o.answers == 0).map(|(id, _)| *id).collect();
                 if let Some(&id) = live.get(n % live.len().max(1)) {
-                    self.owed.get_mut(&id).expect("live").answers = 1;
-                    let actions = self.node.give(Event::Gone(id));
-                    self.take(actions);
+                    self.requests.get_mut(&id).expect("live").answers = 1;
+                    let actions = self.node.handle(Event::Gone(id));
+                    self.check_actions(actions);
                 }
             }
-            Step::Wait(time) => self.wait(time),
-            Step::Server(n, readiness, restarted) => {
-                let since = if restarted { self.node.at } else { 0 };
+            Step::Advance(time) => self.advance(time),
+            Step::UpdateServer(n, readiness, restarted) => {
+                let since = if restarted { self.node.now } else { 0 };
                 match readiness {
-                    Readiness::Ready => self.ready.insert(n),
-                    _ => self.ready.remove(&n),
+                    Readiness::Ready => self.ready_in_list.insert(n),
+                    _ => self.ready_in_list.remove(&n),
                 };
                 let entries = vec![ServerEntry { readiness, since, ..entry(n) }];
-                let actions = self.node.list(ListKind::Partial, entries);
-                self.take(actions);
+                let actions = self.node.update_servers(ListKind::Partial, entries);
+                self.check_actions(actions);
             }
-            Step::Maintain(n, out) => {
+            Step::SetMaintenance(n, out) => {
                 match out {
-                    true => self.out.insert(n),
-                    false => self.out.remove(&n),
+                    true => self.in_maintenance.insert(n),
+                    false => self.in_maintenance.remove(&n),
                 };
-                let since = self.node.at;
-                let actions = self.node.give(Event::Maintenance { server: ServerId(n), out, since });
-                self.take(actions);
-                let ready = |n: &u32| self.ready.contains(n) && !self.out.contains(n);
+                let since = self.node.now;
+                let actions = self.node.handle(Event::Maintenance { server: ServerId(n), out, since });
+                self.check_actions(actions);
+                let ready = |n: &u32| self.ready_in_list.contains(n) && !self.in_maintenance.contains(n);
                 assert!((0..8).all(|n| self.node.balancer.is_ready(ServerId(n)) == ready(&n)));
             }
-            Step::Failed => {
-                let actions = self.node.list(ListKind::Failed, vec![]);
-                self.take(actions);
+            Step::ListFailed => {
+                let actions = self.node.update_servers(ListKind::Failed, vec![]);
+                self.check_actions(actions);
             }
         }
     }
 
     /// Forgets what no rule looks at any more.
-    fn forget(&mut self) {
-        let from = self.node.at.saturating_sub(BUDGET.span);
-        self.asked.retain(|&at| at >= from);
-        self.further.retain(|&at| at >= from);
-        self.owed.retain(|_, o| o.answers == 0 || o.sends.last().is_some_and(|s| s.2.is_none()));
+    fn drop_finished(&mut self) {
+        let from = self.node.now.saturating_sub(BUDGET.span);
+        self.arrivals.retain(|&at| at >= from);
+        self.further_attempts.retain(|&at| at >= from);
+        self.requests.retain(|_, o| o.answers == 0 || o.attempts.last().is_some_and(|s| s.2.is_none()));
     }
 
     /// Lets all end; every request has its one answer then.
     fn finish(mut self) {
-        self.wait(2 * S);
-        assert!(self.owed.values().all(|o| o.answers == 1));
+        self.advance(2 * S);
+        assert!(self.requests.values().all(|o| o.answers == 1));
     }
 }
 
@@ -749,7 +772,7 @@
 
     #[test]
     fn the_rules_hold_over_any_sequence_of_events(steps in prop::collection::vec(step(), 1..300)) {
-        let mut watcher = Watcher::new();
+        let mut watcher = RuleChecker::new();
         steps.into_iter().for_each(|step| watcher.step(step));
         watcher.finish();
     }
@@ -761,11 +784,11 @@
 fn the_rules_hold_over_a_million_events() {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::TestRunner;
-    let (mut runner, mut watcher, step) = (TestRunner::deterministic(), Watcher::new(), step());
+    let (mut runner, mut watcher, step) = (TestRunner::deterministic(), RuleChecker::new(), step());
     for n in 0..1_000_000 {
         watcher.step(step.new_tree(&mut runner).expect("a step").current());
         if n % 64 == 0 {
-            watcher.forget();
+            watcher.drop_finished();
             assert!(watcher.node.balancer.known_servers() <= 8, "servers that are gone are forgotten");
         }
     }
