--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,5 +1,5 @@
-//! What two processes of one node share while one takes over from the other: what operators have ordered, and
-//! whether the other lives. Files under `$TMPDIR`; whatever fails there is logged, and the node serves without.
+//! State that two processes of one node share while one replaces the other: the operators' orders, and which processes
+//! are running. It is kept in files under `$TMPDIR`. Errors are logged, and the node serves without the shared state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -14,23 +14,24 @@
 
 use crate::capacity::Shares;
 
-const FORM: &str = "merlinfold-orders";
+const FORMAT: &str = "merlinfold-orders";
 const VERSION: u32 = 1;
-const MAX_ORDERS: u64 = 4 << 20; // bytes: the names of far more servers than a node has
+/// Size limit of the orders file. The names of far more servers than a node has fit.
+const MAX_ORDERS_BYTES: u64 = 4 << 20;
 
-/// What operators have ordered and not taken back.
+/// The operators' orders that are in effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Orders {
-    /// Servers taken out, by name.
+    /// Names of the servers taken out for maintenance.
     pub out: BTreeSet<String>,
-    /// Servers put back, and when, in Unix time: they are cold from then on.
+    /// Servers put back, with the Unix time in ns of that: they count as cold from then on.
     pub back: BTreeMap<String, Nanos>,
-    /// The node is drained.
+    /// Whether the node is drained.
     pub standby: bool,
 }
 
 impl Orders {
-    /// Adds what was ordered later than these.
+    /// Merges orders that were given later than these.
     pub fn merge_later(&mut self, later: &Orders) {
         for name in &later.out {
             self.back.remove(name);
@@ -44,8 +45,9 @@
     }
 }
 
+/// The JSON body of the orders file.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct OrdersFile {
     node: String,
     orders: Orders,
 }
@@ -56,176 +58,179 @@
     hasher.finish()
 }
 
-/// The orders as they stand in the file: form, version and checksum on the first line, then JSON.
+/// Encodes the orders file: format, version and checksum on the first line, then JSON.
 fn encode(node: &str, orders: &Orders) -> Result<String, String> {
-    let kept = Kept { node: node.to_owned(), orders: orders.clone() };
-    let body = serde_json::to_string(&kept).map_err(|error| error.to_string())?;
-    Ok(format!("{FORM} {VERSION} {:016x}\n{body}", checksum(&body)))
+    let file = OrdersFile { node: node.to_owned(), orders: orders.clone() };
+    let body = serde_json::to_string(&file).map_err(|error| error.to_string())?;
+    Ok(format!("{FORMAT} {VERSION} {:016x}\n{body}", checksum(&body)))
 }
 
-/// Reads them back; the error says why they are of no use.
+/// Decodes the orders file of this node. The error says why it is not valid.
 fn decode(node: &str, text: &str) -> Result<Orders, String> {
-    let (head, body) = text.split_once('\n').ok_or("no first line")?;
+    let (head, body) = text.split_once('\n').ok_or("the first line is not complete")?;
     let mut head = head.split(' ');
-    if head.next() != Some(FORM) {
-        return Err("not orders of a node".to_owned());
+    if head.next() != Some(FORMAT) {
+        return Err("not an orders file".to_owned());
     }
     match head.next().map(str::parse) {
         Some(Ok(VERSION)) => {}
-        other => return Err(format!("version {other:?}, {VERSION} is known")),
+        other => return Err(format!("version {other:?} is not supported, expected {VERSION}")),
     }
     if head.next().and_then(|sum| u64::from_str_radix(sum, 16).ok()) != Some(checksum(body)) {
-        return Err("torn: the checksum differs".to_owned());
+        return Err("the checksum does not match: the file is damaged or incomplete".to_owned());
     }
-    let kept: Kept = serde_json::from_str(body).map_err(|error| error.to_string())?;
-    if kept.node != node {
-        return Err(format!("of another node, {:?}", kept.node));
+    let file: OrdersFile = serde_json::from_str(body).map_err(|error| error.to_string())?;
+    if file.node != node {
+        return Err(format!("orders of another node, {:?}", file.node));
     }
-    Ok(kept.orders)
+    Ok(file.orders)
 }
 
-/// A file that one process holds locked for as long as it lives.
-struct Place {
+/// A lock file. A process that has locked it keeps it locked until it ends.
+struct Slot {
     path: PathBuf,
-    held: Option<File>,
+    locked: Option<File>,
 }
 
-impl Place {
-    /// Takes the place if nobody holds it; whether this process has it then.
-    fn take(&mut self) -> io::Result<bool> {
-        if self.held.is_none() {
+impl Slot {
+    /// Locks the file unless another process has locked it. Returns whether this process has it locked.
+    fn try_lock(&mut self) -> io::Result<bool> {
+        if self.locked.is_none() {
             let file = OpenOptions::new().create(true).truncate(false).write(true).open(&self.path)?;
             match file.try_lock() {
-                Ok(()) => self.held = Some(file),
+                Ok(()) => self.locked = Some(file),
                 Err(TryLockError::WouldBlock) => {}
                 Err(TryLockError::Error(error)) => return Err(error),
             }
         }
-        Ok(self.held.is_some())
+        Ok(self.locked.is_some())
     }
 
-    /// Whether another process holds it.
-    fn is_taken(&mut self) -> io::Result<bool> {
-        let had = self.held.is_some();
-        let free = self.take()?;
-        if !had {
-            self.held = None;
+    /// Whether another process has the file locked.
+    fn is_locked_by_other(&mut self) -> io::Result<bool> {
+        let was_locked = self.locked.is_some();
+        let is_ours = self.try_lock()?;
+        if !was_locked {
+            self.locked = None;
         }
-        Ok(!free)
+        Ok(!is_ours)
     }
 }
 
-/// When the file of orders was last written, as far as the file system tells.
+/// Modification time and length of the orders file.
 type Stamp = (SystemTime, u64);
 
-/// This process's part in what is shared.
+/// The shared state as one process of the node uses it. Of the two processes that may run at once, the first one has
+/// locked the first slot and the other one, its successor, the second.
 pub struct Handover {
     node: String,
-    orders: PathBuf,
-    stamp: Option<Stamp>,
-    unwritten: Option<Orders>, // newer than what stands in the file
-    fault: Option<String>,     // of the file of orders, as last logged: looks are many
-    first: Place,
-    second: Place,
+    orders_path: PathBuf,
+    stamp: Option<Stamp>,         // of the orders as last read or written
+    unwritten: Option<Orders>,    // orders newer than the file
+    logged_error: Option<String>, // about the orders file; the same error is logged once
+    first: Slot,
+    second: Slot,
     companion: bool,
-    room: PathBuf,
-    token: String, // of this process, to be told from one that was beside the first earlier
-    said: Option<String>, // what was last told the second
+    usage_path: PathBuf,
+    token: String, // identifies this process; an earlier one in the second slot had another
+    published_usage: Option<String>,
 }
 
 impl Handover {
-    /// This process's part in what is shared under this folder; nothing is opened before the first look.
+    /// Shares state under this folder. No file is opened before the first [`Handover::refresh`].
     pub fn new(folder: &Path, node: &str) -> Self {
-        // A name may hold what a file name must not.
+        // The checksum stands for the name, which may contain characters that are not allowed in a file name.
         let stem = format!("merlinfold-{:016x}", checksum(node));
         let path = |ending: &str| folder.join(format!("{stem}.{ending}"));
-        let place = |ending: &str| Place { path: path(ending), held: None };
+        let slot = |ending: &str| Slot { path: path(ending), locked: None };
         let started = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         Handover {
             node: node.to_owned(),
-            orders: path("orders"),
+            orders_path: path("orders"),
             stamp: None,
             unwritten: None,
-            fault: None,
-            first: place("first"),
-            second: place("second"),
+            logged_error: None,
+            first: slot("first"),
+            second: slot("second"),
             companion: false,
-            room: path("room"),
+            usage_path: path("room"),
             token: format!("{:x}-{:x}", started.as_nanos(), std::process::id()),
-            said: None,
+            published_usage: None,
         }
     }
 
-    /// Whether another process of this node lives, as of the last look.
+    /// Whether another process of this node was running at the last refresh.
     pub fn has_companion(&self) -> bool {
         self.companion
     }
 
-    /// Whether this process came before the other one.
+    /// Whether this process started before the other one.
     pub fn is_first(&self) -> bool {
-        self.first.held.is_some()
+        self.first.locked.is_some()
     }
 
-    /// Looks whether another process lives.
+    /// Checks whether another process of this node is running, and takes a free slot.
     pub fn refresh(&mut self) -> io::Result<()> {
-        let was = self.companion;
-        if self.first.take()? {
-            self.second.held = None; // the predecessor, if there was one, is gone
-            self.companion = self.second.is_taken()?;
+        let had_companion = self.companion;
+        if self.first.try_lock()? {
+            self.second.locked = None; // the predecessor, if there was one, has ended
+            self.companion = self.second.is_locked_by_other()?;
         } else {
-            // A third process waits for either place.
-            if self.second.held.is_none() && self.second.take()? {
+            // A third process waits for either slot.
+            if self.second.locked.is_none() && self.second.try_lock()? {
                 fs::write(&self.second.path, &self.token)?;
             }
             self.companion = true;
         }
-        if was != self.companion {
+        if had_companion != self.companion {
             let first = self.is_first();
-            info!(companion = self.companion, first, "another process of this node");
+            info!(companion = self.companion, first, "another process of this node started or ended");
         }
         Ok(())
     }
 
     /// Whether this process is one of the two that a node may have.
     pub fn has_slot(&self) -> bool {
-        self.is_first() || self.second.held.is_some()
+        self.is_first() || self.second.locked.is_some()
     }
 
-    /// Tells the process beside this one how much this one still keeps, if that has changed.
-    pub fn publish_usage(&mut self, kept: Shares) -> io::Result<()> {
+    /// Publishes the capacity that this process still uses for the other process, if it has changed.
+    pub fn publish_usage(&mut self, usage: Shares) -> io::Result<()> {
         let token = fs::read_to_string(&self.second.path)?;
-        let said = format!("{token} {} {} {}", kept.clients, kept.servers, kept.bodies);
-        if self.said.as_ref() != Some(&said) {
-            fs::write(&self.room, &said)?;
-            self.said = Some(said);
+        let text = format!("{token} {} {} {}", usage.clients, usage.servers, usage.bodies);
+        if self.published_usage.as_ref() != Some(&text) {
+            fs::write(&self.usage_path, &text)?;
+            self.published_usage = Some(text);
         }
         Ok(())
     }
 
-    /// What the process that came first still keeps, once it has told this one. A file that is another's, or cut
-    /// short, tells nothing.
+    /// The capacity that the first process still uses, once it has published it for this process. A file that is
+    /// incomplete or was written for another process gives none.
     pub fn companion_usage(&self) -> Option<Shares> {
-        let text = fs::read_to_string(&self.room).ok()?;
+        let text = fs::read_to_string(&self.usage_path).ok()?;
         let mut words = text.split(' ');
         words.next().filter(|token| *token == self.token)?;
         let mut number = || words.next().and_then(|word| word.parse().ok());
-        let kept = Shares { clients: number()?, servers: number()?, bodies: number()? };
-        words.next().is_none().then_some(kept)
+        let usage = Shares { clients: number()?, servers: number()?, bodies: number()? };
+        words.next().is_none().then_some(usage)
     }
 
     /// The orders, if they were written since this process last read or wrote them.
     pub fn changed_orders(&mut self) -> Option<Orders> {
-        let stamp = self.look_at_orders();
+        let stamp = self.orders_stamp();
         if stamp.is_none() || stamp == self.stamp {
             return None;
         }
         let read = match stamp {
-            Some((_, length)) if length > MAX_ORDERS => Err(format!("over {MAX_ORDERS} bytes")),
-            _ => match fs::read_to_string(&self.orders) {
+            Some((_, length)) if length > MAX_ORDERS_BYTES => {
+                Err(format!("the file is longer than {MAX_ORDERS_BYTES} bytes"))
+            }
+            _ => match fs::read_to_string(&self.orders_path) {
                 Ok(text) => Ok(text),
                 Err(error) if error.kind() == io::ErrorKind::InvalidData => Err(error.to_string()),
                 Err(error) => {
-                    self.report(format!("orders not read: {error}"));
+                    self.warn_once(format!("cannot read orders: {error}"));
                     return None;
                 }
             },
@@ -234,48 +239,49 @@
         match read.and_then(|text| decode(&self.node, &text)) {
             Ok(orders) => Some(orders),
             Err(fault) => {
-                warn!(file = %self.orders.display(), fault, "orders ignored");
+                warn!(file = %self.orders_path.display(), fault, "ignoring an invalid orders file");
                 None
             }
         }
     }
 
-    /// Writes the orders in place of those before; a reader gets either. Where that fails they are kept for
-    /// [`Shared::write_again`].
+    /// Replaces the orders file atomically, so that a reader gets either the old or the new orders. Orders that cannot
+    /// be written are kept for [`Handover::retry_write`].
     pub fn write_orders(&mut self, orders: &Orders) {
         self.unwritten = Some(orders.clone());
         self.retry_write();
     }
 
-    /// Writes what could not be written before.
+    /// Writes the orders that could not be written before.
     pub fn retry_write(&mut self) {
         let Some(orders) = &self.unwritten else { return };
-        let new = self.orders.with_extension(if self.is_first() { "new-first" } else { "new-second" });
+        let new = self.orders_path.with_extension(if self.is_first() { "new-first" } else { "new-second" });
         let written = encode(&self.node, orders).and_then(|text| {
-            let write = fs::write(&new, text).and_then(|()| fs::rename(&new, &self.orders));
+            let write = fs::write(&new, text).and_then(|()| fs::rename(&new, &self.orders_path));
             write.map_err(|error| error.to_string())
         });
         match written {
             Ok(()) => {
-                self.stamp = self.look_at_orders();
+                self.stamp = self.orders_stamp();
                 self.unwritten = None;
-                self.fault = None;
+                self.logged_error = None;
             }
-            Err(error) => self.report(format!("orders not written: {error}")),
+            Err(error) => self.warn_once(format!("cannot write orders: {error}")),
         }
     }
 
-    /// Logs what goes wrong with the file, once for as long as it does.
-    fn report(&mut self, fault: String) {
-        if self.fault.as_ref() != Some(&fault) {
-            warn!(file = %self.orders.display(), fault, "tried again at each look; see that the folder has room");
-            self.fault = Some(fault);
+    /// Logs an error about the orders file, unless it was the last one logged: each refresh would repeat it.
+    fn warn_once(&mut self, fault: String) {
+        if self.logged_error.as_ref() != Some(&fault) {
+            let file = self.orders_path.display();
+            warn!(%file, fault, "orders file not accessible; retrying, check that its folder has free space");
+            self.logged_error = Some(fault);
         }
     }
 
-    fn look_at_orders(&self) -> Option<Stamp> {
-        let found = fs::metadata(&self.orders).ok()?;
-        Some((found.modified().ok()?, found.len()))
+    fn orders_stamp(&self) -> Option<Stamp> {
+        let metadata = fs::metadata(&self.orders_path).ok()?;
+        Some((metadata.modified().ok()?, metadata.len()))
     }
 }
 
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,30 +1,34 @@
-//! The node's life as a state machine: orders and time go in, a posture comes out that the front follows.
+//! State machine of the node's lifecycle: from commands and time it derives the [`ServingState`] that the front follows.
 
 use merlinfold_decide::interface::Nanos;
 
-const ACCEPT_AFTER_STOP: Nanos = 550_000_000; // for what clients still open then
-/// For a predecessor to make room: its requests last for less, and the platform waits 6 s for a successor.
-const MAKE_ROOM: Nanos = 1_000_000_000;
-/// For an agent to push the first list: what it holds counts as told from a process's first moment. One that is down
-/// tells nothing, and readiness does not wait for it.
-const FIRST_LIST: Nanos = 1_000_000_000;
-const OVER_DEADLINE: Nanos = 500_000_000; // after the longest deadline from a stop: all answers are out
-/// The longest deadline that the platform waits for before it kills: for what comes after a stop there is no more, and
-/// what a kill finds unanswered of that is lost.
-const LONGEST_COUNTED: Nanos = 3_000_000_000;
-const LAST_WAY: Nanos = 20_000_000; // before the end, for the last answer's way
-/// From standby on, until connections without a request are closed: the front has by then sent clients
-/// elsewhere, and what is left of the 4 s that a drain may take covers the longest answer.
-const IDLE_IN_STANDBY: Nanos = 1_000_000_000;
-
-/// What a node is told by its operators or its platform.
+/// How long after a stop new connections are accepted, for clients that still open some then.
+const ACCEPT_AFTER_STOP: Nanos = 550_000_000;
+/// How long a predecessor may take to free capacity. Its requests end within less, and the platform waits 6 s for a
+/// successor.
+const MAX_PREDECESSOR_WAIT: Nanos = 1_000_000_000;
+/// How long to wait for an agent to push the first list. What the agent has counts as announced from the first moment of
+/// a process. An agent that is down announces nothing, and readiness does not wait for it.
+const MAX_FIRST_LIST_WAIT: Nanos = 1_000_000_000;
+/// Time after the longest deadline from a stop by which all answers have been sent.
+const EXIT_MARGIN: Nanos = 500_000_000;
+/// The longest request deadline that the platform waits for before it kills the process. Requests that come after a stop
+/// get no longer deadline, because a kill loses those that are unanswered.
+const MAX_DEADLINE_AFTER_STOP: Nanos = 3_000_000_000;
+/// Time that the last answer needs to reach its client before the process ends.
+const LAST_ANSWER_TRANSIT: Nanos = 20_000_000;
+/// How long after the start of standby connections without a request are closed. By then the front has sent clients
+/// elsewhere, and the rest of the 4 s that a drain may take covers the longest answer.
+const IDLE_CLOSE_DELAY: Nanos = 1_000_000_000;
+
+/// A command of an operator or of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Drain: take nothing new, and stay.
+    /// Drain: take no new requests, but keep running.
     Standby,
-    /// Back to work.
+    /// Serve again.
     Active,
-    /// Answer what is held, and end.
+    /// Answer the accepted requests, then end.
     Terminate,
 }
 
@@ -35,140 +39,146 @@
     Stopping { since: Nanos },
 }
 
-/// What the front does about clients.
+/// How the front treats clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServingState {
-    /// Readiness is answered with yes.
+    /// Whether the readiness check succeeds.
     pub ready: bool,
-    /// Connections stay open after an answer.
+    /// Whether connections stay open after an answer.
     pub keep_alive: bool,
-    /// How many times those without a request were to be closed so far.
+    /// How many times connections without a request were to be closed so far.
     pub idle_closes: u64,
-    /// Clients may connect at all: there is room for them.
+    /// Whether the node may listen for clients, because there is capacity for them.
     pub may_listen: bool,
-    /// It is known where requests may go, or will not be any sooner: those who connect until then are let wait.
+    /// Whether the server list is known, or is no longer waited for. Until then new connections wait.
     pub list_settled: bool,
-    /// New connections are taken.
+    /// Whether new connections are accepted.
     pub accepts_connections: bool,
-    /// When the node ends, whatever is left by then.
+    /// When the process ends, whether or not all requests are answered; none while it is not stopping.
     pub exit_at: Option<Nanos>,
-    /// Until when requests that come from now on have to be answered, if the node is to end.
+    /// By when requests that come from now on have to be answered; none while the node is not stopping.
     pub answer_by: Option<Nanos>,
 }
 
-/// One node's life.
+/// The lifecycle of one node.
 #[derive(Debug)]
 pub struct Lifecycle {
     state: State,
-    retired: u64,
-    retire_at: Option<Nanos>,
-    open_by: Option<Nanos>, // while the predecessor makes room: when to go on without
-    list_by: Option<Nanos>, // while the first list is still to be pushed: when to go on without
-    accepts: bool,
-    longest: Nanos,
+    idle_closes: u64,
+    next_idle_close: Option<Nanos>,
+    listen_by: Option<Nanos>, // set while waiting for the predecessor: when to listen in any case
+    list_by: Option<Nanos>,   // set while waiting for the first list: when to serve without it
+    accepts_connections: bool,
+    longest_deadline: Nanos,
 }
 
 impl Lifecycle {
-    /// A node that works; `longest` is the longest time that a client waits for an answer.
-    pub fn new(longest: Nanos) -> Self {
+    /// An active node. `longest_deadline` is the longest time that a client waits for an answer.
+    pub fn new(longest_deadline: Nanos) -> Self {
         Lifecycle {
             state: State::Active,
-            retired: 0,
-            retire_at: None,
-            open_by: None,
+            idle_closes: 0,
+            next_idle_close: None,
+            listen_by: None,
             list_by: None,
-            accepts: true,
-            longest,
+            accepts_connections: true,
+            longest_deadline,
         }
     }
 
-    /// Starts beside a predecessor that has yet to make room, for which it has a while.
+    /// Waits to listen until a predecessor has freed capacity, for at most [`MAX_PREDECESSOR_WAIT`].
     pub fn await_predecessor(&mut self, now: Nanos) {
-        self.open_by = Some(now + MAKE_ROOM);
+        self.listen_by = Some(now + MAX_PREDECESSOR_WAIT);
     }
 
-    /// Starts by a list of old, where the one that counts is about to be pushed.
+    /// Waits for an agent to push the first list, for at most [`MAX_FIRST_LIST_WAIT`]. Until then only a saved list is
+    /// known.
     pub fn await_list(&mut self, now: Nanos) {
-        self.list_by = Some(now + FIRST_LIST);
+        self.list_by = Some(now + MAX_FIRST_LIST_WAIT);
     }
 
-    /// It has come.
+    /// Notes that the first list has been received.
     pub fn list_received(&mut self) {
         self.list_by = None;
     }
 
-    /// There is room.
+    /// Notes that there is capacity for clients.
     pub fn allow_listening(&mut self) {
-        self.open_by = None;
+        self.listen_by = None;
     }
 
-    /// Connections without a request are to be closed, to make room.
+    /// Has connections without a request closed, to free capacity.
     pub fn close_idle_connections(&mut self) {
-        self.retired += 1;
+        self.idle_closes += 1;
     }
 
-    /// Takes an order; false if it cannot be carried out any more.
-    pub fn apply(&mut self, now: Nanos, order: Command) -> bool {
-        match (self.state, order) {
+    /// Applies a command. Returns false if that is no longer possible.
+    pub fn apply(&mut self, now: Nanos, command: Command) -> bool {
+        match (self.state, command) {
             (State::Stopping { .. }, Command::Active) => return false,
             (State::Stopping { .. }, _) | (State::Standby { .. }, Command::Standby) => {}
-            (_, Command::Terminate) => (self.state, self.retire_at) = (State::Stopping { since: now }, None),
+            (_, Command::Terminate) => {
+                (self.state, self.next_idle_close) = (State::Stopping { since: now }, None);
+            }
             (_, Command::Standby) => {
-                (self.state, self.retire_at) = (State::Standby { since: now }, Some(now + IDLE_IN_STANDBY));
+                self.state = State::Standby { since: now };
+                self.next_idle_close = Some(now + IDLE_CLOSE_DELAY);
             }
-            (_, Command::Active) => (self.state, self.retire_at) = (State::Active, None),
+            (_, Command::Active) => (self.state, self.next_idle_close) = (State::Active, None),
         }
         true
     }
 
-    /// Does what has come due.
+    /// Applies the changes that are due.
     pub fn tick(&mut self, now: Nanos) {
-        self.open_by = self.open_by.filter(|&by| now < by);
+        self.listen_by = self.listen_by.filter(|&by| now < by);
         self.list_by = self.list_by.filter(|&by| now < by);
-        if self.retire_at.is_some_and(|at| at <= now) {
-            (self.retire_at, self.retired) = (None, self.retired + 1);
+        if self.next_idle_close.is_some_and(|at| at <= now) {
+            (self.next_idle_close, self.idle_closes) = (None, self.idle_closes + 1);
         }
         if let State::Stopping { since } = self.state {
-            self.accepts &= now < since + ACCEPT_AFTER_STOP;
+            self.accepts_connections &= now < since + ACCEPT_AFTER_STOP;
         }
     }
 
-    /// When time alone next changes the posture.
+    /// When [`Lifecycle::tick`] next changes the serving state.
     pub fn next_change(&self) -> Option<Nanos> {
         let of_state = match self.state {
-            State::Stopping { since } if self.accepts => Some(since + ACCEPT_AFTER_STOP),
-            _ => self.retire_at,
+            State::Stopping { since } if self.accepts_connections => Some(since + ACCEPT_AFTER_STOP),
+            _ => self.next_idle_close,
         };
-        [of_state, self.open_by, self.list_by].into_iter().flatten().min()
+        [of_state, self.listen_by, self.list_by].into_iter().flatten().min()
     }
 
-    /// As of the last order or tick.
+    /// The serving state as of the last command or tick.
     pub fn serving_state(&self) -> ServingState {
         let stopping = match self.state {
             State::Stopping { since } => Some(since),
             _ => None,
         };
-        let ends_at = stopping.map(|since| since + self.longest + OVER_DEADLINE);
-        let answers_by =
-            stopping.map(|since| since + self.longest.min(LONGEST_COUNTED) + OVER_DEADLINE - LAST_WAY);
-        // One that stops still says yes: the platform takes it out itself, and what comes meanwhile is served.
+        let exit_at = stopping.map(|since| since + self.longest_deadline + EXIT_MARGIN);
+        let answer_by = stopping.map(|since| {
+            let deadline = self.longest_deadline.min(MAX_DEADLINE_AFTER_STOP);
+            since + deadline + EXIT_MARGIN - LAST_ANSWER_TRANSIT
+        });
+        // A stopping node stays ready: the platform removes it by itself and the node serves what comes until then.
         let ready = !matches!(self.state, State::Standby { .. });
         ServingState {
             ready,
             keep_alive: self.state == State::Active,
-            idle_closes: self.retired,
-            may_listen: self.open_by.is_none(),
+            idle_closes: self.idle_closes,
+            may_listen: self.listen_by.is_none(),
             list_settled: self.list_by.is_none(),
-            accepts_connections: self.accepts,
-            exit_at: ends_at,
-            answer_by: answers_by,
+            accepts_connections: self.accepts_connections,
+            exit_at,
+            answer_by,
         }
     }
 
-    /// One word for the log.
+    /// The name of the state for the log and for operators.
     pub fn state_name(&self) -> &'static str {
         match self.state {
-            State::Active if self.open_by.is_some() || self.list_by.is_some() => "starting",
+            State::Active if self.listen_by.is_some() || self.list_by.is_some() => "starting",
             State::Active => "active",
             State::Standby { .. } => "standby",
             State::Stopping { .. } => "stopping",
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams from and to the other nodes of the tier.
+//! Datagrams to and from the other nodes of the tier.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,46 +10,49 @@
 use crate::input::Input;
 use merlinfold_decide::interface::MESSAGE_MOST;
 
-/// The node's socket and the addresses of the others, in the order of their numbers.
+/// The node's datagram socket and the addresses of all nodes, indexed by node number.
 #[derive(Clone)]
 pub struct Peers {
     socket: Arc<UdpSocket>,
     addresses: Arc<[SocketAddr]>,
-    all: Option<SocketAddr>,
+    all: Option<SocketAddr>, // an address that reaches all other nodes
     me: u32,
 }
 
 impl Peers {
+    /// `addresses` are those of all nodes by number, `me` is the number of this node, and `all` an address that reaches all
+    /// other nodes, if there is one.
     pub fn new(socket: UdpSocket, addresses: Vec<SocketAddr>, all: Option<SocketAddr>, me: u32) -> Self {
         Peers { socket: Arc::new(socket), addresses: addresses.into(), all, me }
     }
 
-    /// Sends to one, or to all the others. May be lost, as on the way: a full socket is no error.
+    /// Sends a message to one node, or to all others. It is dropped if the socket's buffer is full, as the network may drop
+    /// it too.
     pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
-        let send = |at: SocketAddr| {
+        let send_to = |at: SocketAddr| {
             if let Err(error) = self.socket.try_send_to(bytes, at) {
-                debug!(%at, %error, "message to a peer was not sent");
+                debug!(%at, %error, "message to a peer could not be sent");
             }
         };
         match (to, self.all) {
-            (Some(to), _) => self.addresses.get(to as usize).copied().into_iter().for_each(send),
-            (None, Some(all)) => send(all),
+            (Some(to), _) => self.addresses.get(to as usize).copied().into_iter().for_each(send_to),
+            (None, Some(all)) => send_to(all),
             (None, None) => {
                 let others = self.addresses.iter().enumerate().filter(|(n, _)| *n != self.me as usize);
-                others.for_each(|(_, &at)| send(at));
+                others.for_each(|(_, &at)| send_to(at));
             }
         }
     }
 
-    /// Hands on what comes from a peer; drops what is too long or from anybody else.
+    /// Forwards messages of peers to the driver. Drops datagrams that are too long or from other addresses.
     pub async fn receive(self, inputs: UnboundedSender<Input>) {
         let mut buffer = [0; MESSAGE_MOST + 1];
         loop {
             let (length, at) = match self.socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(error) => {
-                    // What an earlier datagram met on its way comes back here; it ends nothing.
-                    debug!(%error, "peer socket");
+                    // The error may be that of an earlier datagram, such as an ICMP answer to it, so receiving goes on.
+                    debug!(%error, "receiving from peers failed; retrying");
                     tokio::task::yield_now().await;
                     continue;
                 }
@@ -76,9 +79,10 @@
         (socket, at)
     }
 
-    /// Guards who is heard: datagrams keep their order on loopback, so the last one tells of all.
+    /// Guards against messages from addresses that are no peer's. Datagrams keep their order on loopback, so the two before
+    /// the last one were dropped.
     #[tokio::test]
-    async fn only_peers_are_heard_and_only_in_short() {
+    async fn messages_of_strangers_and_oversized_messages_are_dropped() {
         let ((own, own_at), (peer, peer_at)) = (socket().await, socket().await);
         let (stranger, _) = socket().await;
         let peers = Peers::new(own, vec![own_at, peer_at], None, 0);
@@ -93,7 +97,7 @@
     }
 
     #[tokio::test]
-    async fn a_message_goes_to_the_peer_of_that_number_or_to_all_others() {
+    async fn a_message_is_sent_to_one_peer_by_number_or_to_all_others() {
         let ((own, own_at), (peer, peer_at)) = (socket().await, socket().await);
         let (all, all_at) = socket().await;
         own.writable().await.unwrap();
--- a/crates/node/tests/unit/handover.rs
+++ b/crates/node/tests/unit/handover.rs
@@ -1,4 +1,4 @@
-//! Tests of `handover.rs`.
+//! Tests of the state that two processes of one node share.
 
 use super::*;
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
     Orders { out, back: BTreeMap::from([("s-3".to_owned(), 7)]), standby: true }
 }
 
-/// A folder of its own for a test, gone with it.
+/// A temporary folder for one test, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn orders_come_back_as_they_were_and_only_to_their_node() {
+fn encoded_orders_are_decoded_by_the_same_node_only() {
     let text = encode("n0", &orders()).unwrap();
     assert_eq!(decode("n0", &text), Ok(orders()));
     assert!(decode("n1", &text).unwrap_err().contains("n0"));
@@ -35,29 +35,29 @@
 }
 
 proptest! {
-    /// Whatever is lost or changed in the file, nobody takes it for orders.
+    /// A file that is cut short or has a changed byte is an error.
     #[test]
-    fn torn_orders_are_no_orders(at in any::<prop::sample::Index>(), cut in any::<bool>(), byte in 32u8..127) {
+    fn damaged_orders_are_rejected(at in any::<prop::sample::Index>(), cut in any::<bool>(), byte in 32u8..127) {
         let text = encode("n0", &orders()).unwrap();
         let mut bytes = text.clone().into_bytes();
         let at = at.index(bytes.len());
         if cut { bytes.truncate(at) } else { bytes[at] = byte }
-        let torn = String::from_utf8(bytes).unwrap();
-        prop_assert!(torn == text || decode("n0", &torn).is_err_and(|fault| !fault.is_empty()));
+        let damaged = String::from_utf8(bytes).unwrap();
+        prop_assert!(damaged == text || decode("n0", &damaged).is_err_and(|error| !error.is_empty()));
     }
 }
 
-/// A process's part after its first look.
+/// The shared state as a process has it after its first refresh.
 fn open(folder: &Path, node: &str) -> Handover {
-    let mut shared = Handover::new(folder, node);
-    shared.refresh().unwrap();
-    shared
+    let mut handover = Handover::new(folder, node);
+    handover.refresh().unwrap();
+    handover
 }
 
-/// Locks belong to open files, so two of this process are as good as two processes.
+/// Locks belong to open files, so two handovers in this process behave like those of two processes.
 #[test]
-fn each_knows_of_the_other_until_one_ends() {
-    let folder = Folder::new("places");
+fn each_process_sees_the_other_until_one_ends() {
+    let folder = Folder::new("slots");
     let mut old = open(&folder.0, "n0");
     assert!(old.is_first() && !old.has_companion());
     let mut new = open(&folder.0, "n0");
@@ -65,43 +65,43 @@
     old.refresh().unwrap();
     assert!(old.has_companion());
     let other = open(&folder.0, "n1");
-    assert!(!other.has_companion(), "another node's process is none of ours");
+    assert!(!other.has_companion(), "a process of another node is no companion");
     drop(old);
     new.refresh().unwrap();
     assert!(new.is_first() && !new.has_companion());
     let third = open(&folder.0, "n0");
     drop(new);
-    assert!(third.has_companion(), "as of its last look");
+    assert!(third.has_companion(), "as of its last refresh");
 }
 
 #[test]
-fn what_is_kept_is_told_to_one_and_not_to_the_next() {
-    let folder = Folder::new("room");
+fn usage_is_published_for_one_successor_and_not_for_the_next() {
+    let folder = Folder::new("usage");
     let mut old = open(&folder.0, "n0");
     let new = open(&folder.0, "n0");
-    let kept = |clients| Shares { clients, servers: 7, bodies: 9 };
+    let usage = |clients| Shares { clients, servers: 7, bodies: 9 };
     assert!(old.has_slot() && new.has_slot() && new.companion_usage().is_none());
-    old.publish_usage(kept(5)).unwrap();
-    assert_eq!(new.companion_usage(), Some(kept(5)));
-    old.publish_usage(kept(4)).unwrap();
-    assert_eq!(new.companion_usage(), Some(kept(4)));
-    for torn in ["", " 4", " 4 7 9 1", " 4 7 x"] {
-        fs::write(&new.room, format!("{}{torn}", new.token)).unwrap();
-        assert_eq!(new.companion_usage(), None, "{torn:?}");
+    old.publish_usage(usage(5)).unwrap();
+    assert_eq!(new.companion_usage(), Some(usage(5)));
+    old.publish_usage(usage(4)).unwrap();
+    assert_eq!(new.companion_usage(), Some(usage(4)));
+    for damaged in ["", " 4", " 4 7 9 1", " 4 7 x"] {
+        fs::write(&new.usage_path, format!("{}{damaged}", new.token)).unwrap();
+        assert_eq!(new.companion_usage(), None, "{damaged:?}");
     }
-    assert!(!open(&folder.0, "n0").has_slot(), "a third waits");
+    assert!(!open(&folder.0, "n0").has_slot(), "a third process waits");
     drop(new);
     old.refresh().unwrap();
     let mut next = open(&folder.0, "n0");
-    next.token.push('x'); // as a clock without much resolution would not do
+    next.token.push('x'); // differs even where the clock's resolution is too low
     fs::write(&next.second.path, &next.token).unwrap();
-    assert_eq!(next.companion_usage(), None, "that was another's");
-    old.publish_usage(kept(4)).unwrap();
-    assert_eq!(next.companion_usage(), Some(kept(4)));
+    assert_eq!(next.companion_usage(), None, "it was published for another process");
+    old.publish_usage(usage(4)).unwrap();
+    assert_eq!(next.companion_usage(), Some(usage(4)));
 }
 
 #[test]
-fn orders_reach_the_other_once_and_not_their_writer() {
+fn written_orders_are_read_once_by_the_other_process_and_not_by_their_writer() {
     let folder = Folder::new("orders");
     let (mut old, mut new) = (open(&folder.0, "n0"), open(&folder.0, "n0"));
     assert_eq!(new.changed_orders(), None);
@@ -110,32 +110,32 @@
         (new.changed_orders(), new.changed_orders(), old.changed_orders()),
         (Some(orders()), None, None)
     );
-    fs::write(&new.orders, "nonsense").unwrap();
+    fs::write(&new.orders_path, "nonsense").unwrap();
     assert_eq!(new.changed_orders(), None);
 }
 
-/// Guards what an operator was answered: a disk that takes no write for a while.
+/// Guards against the loss of orders that an operator has been told are in effect, where the disk rejects writes for a while.
 #[test]
-fn orders_that_could_not_be_written_are_written_once_they_can_be() {
+fn orders_that_could_not_be_written_are_written_on_a_later_try() {
     let folder = Folder::new("unwritten");
     let (mut old, mut new) = (open(&folder.0, "n0"), open(&folder.0, "n0"));
-    fs::create_dir(&old.orders).unwrap(); // which no file can take the place of
+    fs::create_dir(&old.orders_path).unwrap(); // a rename cannot replace a folder by a file
     old.write_orders(&orders());
     assert_eq!(new.changed_orders(), None);
     old.retry_write();
-    fs::remove_dir(&old.orders).unwrap();
+    fs::remove_dir(&old.orders_path).unwrap();
     old.retry_write();
     assert_eq!(new.changed_orders(), Some(orders()));
-    fs::write(&new.orders, encode("n0", &Orders::default()).unwrap()).unwrap();
+    fs::write(&new.orders_path, encode("n0", &Orders::default()).unwrap()).unwrap();
     old.retry_write();
-    assert_eq!(old.changed_orders(), Some(Orders::default()), "what was written is not written again");
+    assert_eq!(old.changed_orders(), Some(Orders::default()), "written orders are not written again");
 }
 
-/// Guards orders of another process: a read that fails is no reason to take them for read.
+/// Guards against the loss of another process's orders: a failed read must not count as a read.
 #[test]
 fn orders_that_could_not_be_read_are_read_again() {
     let folder = Folder::new("unread");
     let mut node = open(&folder.0, "n0");
-    std::os::unix::fs::symlink("/proc/self/mem", &node.orders).unwrap(); // a file that is there and fails with EIO
+    std::os::unix::fs::symlink("/proc/self/mem", &node.orders_path).unwrap(); // a file that exists and whose reads fail with EIO
     assert_eq!((node.changed_orders(), node.stamp), (None, None));
 }
