--- a/crates/replicated-log/src/applied.rs
+++ b/crates/replicated-log/src/applied.rs
@@ -15,7 +15,7 @@
 pub const MAX_VALUES: usize = 4_096;
 /// Commands between two digests.
 pub const DIGEST_INTERVAL: u64 = 64;
-const DIGESTS: usize = 8; // that are remembered
+const MAX_DIGESTS: usize = 8; // that are remembered
 
 /// Parts of the state, in the order of their digests.
 pub const STATE_PARTS: [&str; 3] = ["voters", "ids", "register"];
@@ -86,19 +86,19 @@
                 self.voters.remove(voter);
                 None
             }
-            EntryPayload::Command(command) => self.command(entry.index, command, twice)?,
+            EntryPayload::Command(command) => self.apply_command(entry.index, command, twice)?,
         };
         (self.index, self.term) = (entry.index, entry.term);
         if self.index.is_multiple_of(DIGEST_INTERVAL) {
-            self.digests.push_back((self.index, self.parts()));
-            if self.digests.len() > DIGESTS {
+            self.digests.push_back((self.index, self.part_checksums()));
+            if self.digests.len() > MAX_DIGESTS {
                 self.digests.pop_front();
             }
         }
         Ok(outcome)
     }
 
-    fn command(
+    fn apply_command(
         &mut self, index: u64, command: &Command, twice: bool,
     ) -> Result<Option<(CommandId, Outcome)>, UnknownCommand> {
         if let Some(known) = self.ids.get(&command.id).filter(|_| !twice) {
@@ -106,7 +106,7 @@
         }
         let outcome = match command.kind {
             BARRIER => Outcome::Done(index),
-            SET => self.set(index, command).map_or_else(Outcome::SetAside, |()| Outcome::Done(index)),
+            SET => self.apply_set(index, command).map_or_else(Outcome::SetAside, |()| Outcome::Done(index)),
             kind => return Err(UnknownCommand { index, kind }),
         };
         if command.kind != BARRIER && self.ids.insert(command.id, outcome.clone()).is_none() {
@@ -118,7 +118,7 @@
         Ok(Some((command.id, outcome)))
     }
 
-    fn set(&mut self, index: u64, command: &Command) -> Result<(), Refusal> {
+    fn apply_set(&mut self, index: u64, command: &Command) -> Result<(), Refusal> {
         if command.body.len() > MAX_BODY_BYTES {
             return Err(Refusal::Malformed);
         }
@@ -156,7 +156,7 @@
         self.ids.get(&id)
     }
 
-    fn parts(&self) -> [u32; STATE_PARTS.len()] {
+    fn part_checksums(&self) -> [u32; STATE_PARTS.len()] {
         let sum = |bytes: Result<Vec<u8>, postcard::Error>| bytes.map_or(0, |bytes| crc32c::crc32c(&bytes));
         [
             sum(postcard::to_stdvec(&self.voters)),
--- a/crates/replicated-log/src/durable/mod.rs
+++ b/crates/replicated-log/src/durable/mod.rs
@@ -11,15 +11,15 @@
 use thiserror::Error;
 
 use crate::applied::AppliedState;
-use crate::replica::Save;
+use crate::replica::DurableUpdate;
 use crate::wire::{Group, RaftEntry};
 
 /// Entries in a file.
 pub const SEGMENT_ENTRIES: u64 = 64;
-const FILES: u64 = 64;
-const FORM: u8 = 1;
-const META: &str = "agree";
-const STATE: &str = "agree-state";
+const MAX_SEGMENT_FILES: u64 = 64;
+const FORMAT_VERSION: u8 = 1;
+const METADATA_FILE: &str = "agree";
+const STATE_FILE: &str = "agree-state";
 
 /// The first file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
 impl FileWrite {
     /// Replaces it. Without a fault it survives a crash.
     pub fn save(&self, disk: &dyn Disk, owner: &str) -> Result<(), DiskFault> {
-        File::new(&self.name, owner, FORM).save(disk, &self.bytes)
+        File::new(&self.name, owner, FORMAT_VERSION).save(disk, &self.bytes)
     }
 }
 
@@ -82,10 +82,10 @@
     pub entries: Vec<RaftEntry>,
 }
 
-fn load<T: serde::de::DeserializeOwned>(
+fn load_file<T: serde::de::DeserializeOwned>(
     disk: &dyn Disk, owner: &str, name: &str, what: &'static str,
 ) -> Result<Option<T>, LoadError> {
-    let bytes = File::new(name, owner, FORM).load::<Vec<u8>>(disk);
+    let bytes = File::new(name, owner, FORMAT_VERSION).load::<Vec<u8>>(disk);
     let bytes = bytes.map_err(|fault| LoadError::File { file: name.to_owned(), fault })?;
     bytes.map(|bytes| postcard::from_bytes(&bytes).map_err(|_| LoadError::Malformed(what))).transpose()
 }
@@ -93,7 +93,7 @@
 impl StoredLog {
     /// Reads all; with it, why it is not believed, if so. A state that can be read is right even then: it is agreed.
     pub fn load(disk: &dyn Disk, owner: &str) -> (StoredLog, Option<LoadError>) {
-        let state = match load::<AppliedState>(disk, owner, STATE, "the state") {
+        let state = match load_file::<AppliedState>(disk, owner, STATE_FILE, "the state") {
             Ok(state) => state,
             Err(doubt) => return (StoredLog::default(), Some(doubt)),
         };
@@ -101,20 +101,20 @@
             state: state.unwrap_or_default(),
             ..StoredLog::default()
         };
-        let meta = match load::<ReplicaMetadata>(disk, owner, META, "the seat") {
+        let meta = match load_file::<ReplicaMetadata>(disk, owner, METADATA_FILE, "the seat") {
             Ok(Some(meta)) => meta,
             Ok(None) => return (only(state), None),
             Err(doubt) => return (only(state), Some(doubt)),
         };
         let Some(state) = state else { return (only(None), Some(LoadError::Malformed("the state"))) };
-        match entries(disk, owner, &meta, state.index) {
+        match load_entries(disk, owner, &meta, state.index) {
             Ok(entries) => (StoredLog { meta, state, entries }, None),
             Err(doubt) => (StoredLog { state, ..StoredLog::default() }, Some(doubt)),
         }
     }
 }
 
-fn entries(
+fn load_entries(
     disk: &dyn Disk, owner: &str, meta: &ReplicaMetadata, base: u64,
 ) -> Result<Vec<RaftEntry>, LoadError> {
     let (mut next, last) = (base + 1, meta.log.1);
@@ -123,9 +123,9 @@
         return Err(LoadError::MissingEntry(next));
     }
     while next <= last {
-        let name = segment(next / SEGMENT_ENTRIES);
+        let name = segment_name(next / SEGMENT_ENTRIES);
         let stored: Vec<RaftEntry> =
-            load(disk, owner, &name, "the log")?.ok_or(LoadError::MissingEntry(next))?;
+            load_file(disk, owner, &name, "the log")?.ok_or(LoadError::MissingEntry(next))?;
         let before = next;
         for entry in
             stored.into_iter().skip_while(|entry| entry.index < before).take_while(|e| e.index <= last)
@@ -145,11 +145,11 @@
 }
 
 /// Names go round, so that no more files than these ever stand there: the log never holds half as many.
-fn segment(number: u64) -> String {
-    format!("agree-log-{}", number % FILES)
+fn segment_name(number: u64) -> String {
+    format!("agree-log-{}", number % MAX_SEGMENT_FILES)
 }
 
-fn write(name: &str, value: &impl Serialize) -> FileWrite {
+fn file_write(name: &str, value: &impl Serialize) -> FileWrite {
     FileWrite { name: name.to_owned(), bytes: postcard::to_stdvec(value).unwrap_or_default() }
 }
 
@@ -168,32 +168,32 @@
     }
 
     /// The files for a replica that begins after this state.
-    pub fn begin(&mut self, state: &AppliedState, entries: Vec<RaftEntry>) -> Vec<FileWrite> {
+    pub fn reset(&mut self, state: &AppliedState, entries: Vec<RaftEntry>) -> Vec<FileWrite> {
         self.entries = entries.into_iter().map(|entry| (entry.index, entry)).collect();
-        self.bound(state.index);
-        let mut writes = vec![write(STATE, state)];
-        writes.extend(self.segments(state.index + 1));
-        writes.push(write(META, &self.meta));
+        self.set_log_range(state.index);
+        let mut writes = vec![file_write(STATE_FILE, state)];
+        writes.extend(self.segment_writes(state.index + 1));
+        writes.push(file_write(METADATA_FILE, &self.meta));
         writes
     }
 
     /// The files for what the consensus wants kept.
-    pub fn keep(&mut self, save: &Save) -> Vec<FileWrite> {
+    pub fn record(&mut self, save: &DurableUpdate) -> Vec<FileWrite> {
         let mut writes = Vec::new();
-        if let Some(hard) = save.hard {
+        if let Some(hard) = save.hard_state {
             self.meta.hard = hard;
         }
         if let Some(first) = save.entries.first().map(|entry| entry.index) {
             if first <= self.meta.log.1 {
                 self.meta.log.1 = first - 1;
-                writes.push(write(META, &self.meta));
+                writes.push(file_write(METADATA_FILE, &self.meta));
             }
             self.entries.split_off(&first);
             self.entries.extend(save.entries.iter().map(|entry| (entry.index, entry.clone())));
             self.meta.log.1 = self.entries.keys().next_back().copied().unwrap_or(first - 1);
-            writes.extend(self.segments(first));
+            writes.extend(self.segment_writes(first));
         }
-        writes.push(write(META, &self.meta));
+        writes.push(file_write(METADATA_FILE, &self.meta));
         writes
     }
 
@@ -201,27 +201,27 @@
     pub fn compact(&mut self, state: &AppliedState) -> Vec<FileWrite> {
         self.entries = self.entries.split_off(&(state.index + 1));
         self.meta.log = (state.index + 1, self.meta.log.1.max(state.index));
-        vec![write(STATE, state), write(META, &self.meta)]
+        vec![file_write(STATE_FILE, state), file_write(METADATA_FILE, &self.meta)]
     }
 
     /// The first file alone.
-    pub fn replica(&self) -> Vec<FileWrite> {
-        vec![write(META, &self.meta)]
+    pub fn metadata(&self) -> Vec<FileWrite> {
+        vec![file_write(METADATA_FILE, &self.meta)]
     }
 
-    fn bound(&mut self, base: u64) {
+    fn set_log_range(&mut self, base: u64) {
         let last = self.entries.keys().next_back().copied();
         self.meta.log = (base + 1, last.unwrap_or(base));
     }
 
-    fn segments(&self, from: u64) -> Vec<FileWrite> {
+    fn segment_writes(&self, from: u64) -> Vec<FileWrite> {
         let mut writes = Vec::new();
         let mut number = from / SEGMENT_ENTRIES;
         while self.entries.range(number * SEGMENT_ENTRIES..).next().is_some() {
             let of = self.entries.range(number * SEGMENT_ENTRIES..(number + 1) * SEGMENT_ENTRIES);
             let of: Vec<&RaftEntry> = of.map(|(_, entry)| entry).collect();
             if !of.is_empty() {
-                writes.push(write(&segment(number), &of));
+                writes.push(file_write(&segment_name(number), &of));
             }
             number += 1;
         }
--- a/crates/replicated-log/src/machine/mod.rs
+++ b/crates/replicated-log/src/machine/mod.rs
@@ -15,9 +15,9 @@
 use crate::durable::{DiskImage, FileWrite, StoredLog};
 use crate::replica::Replica;
 use crate::wire::{self, encode, Body, Envelope, Group};
-use bootstrap::Word;
+use bootstrap::CandidateReport;
 use proposals::Proposal;
-use replication::{Child, Fetch};
+use replication::{Child, StateFetch};
 
 /// What a node is told.
 #[derive(Debug)]
@@ -94,58 +94,58 @@
 
 /// One node's part.
 pub struct ReplicatedLog {
-    id: Identity,
+    identity: Identity,
     tuning: Tuning,
     rng: fastrand::Rng,
     peers: BTreeMap<Name, Peer>,
     applied: AppliedState,
-    tail: VecDeque<Entry>,
-    told: u64,
-    heard: Nanos, // when somebody last told something of this log
-    halted: Option<UnknownCommand>,
+    recent_entries: VecDeque<Entry>,
+    latest_announced: u64,
+    last_received: Nanos, // when somebody last told something of this log
+    halted_at: Option<UnknownCommand>,
     replica: Option<Replica>,
     voter: u64, // the number by which this node votes, or would
-    image: Option<DiskImage>,
-    saving: Option<Saving>,
-    saving_since: Nanos,
-    now: Nanos,                                      // when this node last had its turn
-    names: BTreeMap<u64, Name>, // nodes of voters that were heard, also of such as the state here does not know yet
-    frozen: Option<Nanos>,      // since when the disk takes nothing: the replica says nothing until it does
-    hello: Option<std::collections::BTreeSet<Name>>, // who has let the old number in
-    seen: BTreeMap<u64, u64>,
-    words: BTreeMap<Name, Word>,
-    began: Nanos,
+    disk_image: Option<DiskImage>,
+    write_in_progress: Option<PendingWrite>,
+    write_started: Nanos,
+    last_event: Nanos,                // when this node last had its turn
+    voter_nodes: BTreeMap<u64, Name>, // nodes of voters that were heard, also of such as the state here does not know yet
+    disk_failed_since: Option<Nanos>, // since when the disk takes nothing: the replica says nothing until it does
+    rejoin_confirmations: Option<std::collections::BTreeSet<Name>>, // who has let the old number in
+    seen_starts: BTreeMap<u64, u64>,
+    candidate_reports: BTreeMap<Name, CandidateReport>,
+    started: Nanos,
     proposals: BTreeMap<CommandId, Proposal>,
     children: BTreeMap<Name, Child>,
-    fetch: Option<Fetch>,
-    offered: Option<(u64, std::sync::Arc<Vec<u8>>)>,
-    gone: BTreeMap<u64, Nanos>,
-    led: Option<u64>,
-    next: Next,
-    faults: BTreeMap<wire::DatagramError, u64>,
+    state_fetch: Option<StateFetch>,
+    offered_state: Option<(u64, std::sync::Arc<Vec<u8>>)>,
+    unavailable_since: BTreeMap<u64, Nanos>,
+    notified_leadership: Option<u64>,
+    deadlines: Deadlines,
+    rejected_datagrams: BTreeMap<wire::DatagramError, u64>,
     sent_bytes: u64,
 }
 
 /// What the disk is busy with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Saving {
+enum PendingWrite {
     /// What the consensus wants kept.
     Replica,
     /// Something that nothing waits for.
-    Aside,
+    Background,
 }
 
 /// When what is due next.
 #[derive(Clone, Copy, Debug, Default)]
-struct Next {
+struct Deadlines {
     tick: Nanos,
     pull: Nanos,
     ask: Nanos,
-    hello: Nanos,
-    look: Nanos,
-    thaw: Nanos,
-    later: Nanos,
-    free: Nanos,
+    rejoin: Nanos,
+    voter_check: Nanos,
+    disk_retry: Nanos,
+    later_log_pull: Nanos,
+    release_check: Nanos,
 }
 
 impl ReplicatedLog {
@@ -155,110 +155,119 @@
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let fresh = rng.u64(1..);
-        let next =
-            Next { pull: now, ask: now, look: now, tick: now, hello: now, thaw: now, later: now, free: now };
+        let next = Deadlines {
+            pull: now,
+            ask: now,
+            voter_check: now,
+            tick: now,
+            rejoin: now,
+            disk_retry: now,
+            later_log_pull: now,
+            release_check: now,
+        };
         let mut node = ReplicatedLog {
-            id,
+            identity: id,
             tuning,
             rng,
             peers: BTreeMap::new(),
             applied: AppliedState::default(),
-            tail: VecDeque::new(),
-            told: 0,
-            heard: 0,
-            halted: None,
+            recent_entries: VecDeque::new(),
+            latest_announced: 0,
+            last_received: 0,
+            halted_at: None,
             replica: None,
             voter: fresh,
-            image: None,
-            saving: None,
-            saving_since: now,
-            now,
-            names: BTreeMap::new(),
-            frozen: None,
-            hello: None,
-            seen: BTreeMap::new(),
-            words: BTreeMap::new(),
-            began: now,
+            disk_image: None,
+            write_in_progress: None,
+            write_started: now,
+            last_event: now,
+            voter_nodes: BTreeMap::new(),
+            disk_failed_since: None,
+            rejoin_confirmations: None,
+            seen_starts: BTreeMap::new(),
+            candidate_reports: BTreeMap::new(),
+            started: now,
             proposals: BTreeMap::new(),
             children: BTreeMap::new(),
-            fetch: None,
-            offered: None,
-            gone: BTreeMap::new(),
-            led: None,
-            next,
-            faults: BTreeMap::new(),
+            state_fetch: None,
+            offered_state: None,
+            unavailable_since: BTreeMap::new(),
+            notified_leadership: None,
+            deadlines: next,
+            rejected_datagrams: BTreeMap::new(),
             sent_bytes: 0,
         };
         if let Some(kept) = kept {
-            node.resume(kept, out);
+            node.restore(kept, out);
         }
         node
     }
 
     /// Takes one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        if now.saturating_sub(self.now) > self.patience() {
+        if now.saturating_sub(self.last_event) > self.election_timeout() {
             self.replica.iter_mut().for_each(Replica::step_down); // this node was held up
         }
-        self.now = now;
+        self.last_event = now;
         match event {
             Event::Tick => {}
             Event::Datagram(bytes) => match wire::decode(bytes) {
-                Ok(envelope) if envelope.cluster != self.id.cluster => {
-                    self.fault(wire::DatagramError::WrongCluster)
+                Ok(envelope) if envelope.cluster != self.identity.cluster => {
+                    self.count_rejected(wire::DatagramError::WrongCluster)
                 }
-                Ok(envelope) if envelope.to != self.id.name => {
-                    self.fault(wire::DatagramError::WrongRecipient)
+                Ok(envelope) if envelope.to != self.identity.name => {
+                    self.count_rejected(wire::DatagramError::WrongRecipient)
                 }
-                Ok(envelope) => self.hear(now, envelope, out),
-                Err(fault) => self.fault(fault),
+                Ok(envelope) => self.receive(now, envelope, out),
+                Err(fault) => self.count_rejected(fault),
             },
             Event::Peers(peers) => {
                 self.peers = peers.into_iter().map(|peer| (peer.name.clone(), peer)).collect();
             }
-            Event::Persisted(durable) => self.persisted(now, durable, out),
-            Event::Propose(command) => self.take(now, command, out),
+            Event::Persisted(durable) => self.write_finished(now, durable, out),
+            Event::Propose(command) => self.accept_proposal(now, command, out),
         }
-        self.turn(now, out);
+        self.run_due(now, out);
     }
 
     /// When it next wants a tick.
     pub fn next_deadline(&self) -> Nanos {
-        let is_voter = self.replica.is_some() && self.hello.is_none() && self.frozen.is_none();
-        let mut due = self.next.pull.min(self.next.look);
+        let is_voter =
+            self.replica.is_some() && self.rejoin_confirmations.is_none() && self.disk_failed_since.is_none();
+        let mut due = self.deadlines.pull.min(self.deadlines.voter_check);
         if is_voter {
-            due = due.min(self.next.tick);
+            due = due.min(self.deadlines.tick);
         }
-        if self.hello.is_some() {
-            due = due.min(self.next.hello);
+        if self.rejoin_confirmations.is_some() {
+            due = due.min(self.deadlines.rejoin);
         }
-        if self.frozen.is_some() {
-            due = due.min(self.next.thaw);
+        if self.disk_failed_since.is_some() {
+            due = due.min(self.deadlines.disk_retry);
         }
-        if self.replica.is_none() && self.id.is_candidate() {
-            due = due.min(self.next.ask);
+        if self.replica.is_none() && self.identity.is_candidate() {
+            due = due.min(self.deadlines.ask);
         }
-        self.proposals.values().map(|proposal| proposal.next).fold(due, Nanos::min)
+        self.proposals.values().map(|proposal| proposal.next_send).fold(due, Nanos::min)
     }
 
     /// After so long others may have chosen another leader.
-    fn patience(&self) -> Nanos {
+    fn election_timeout(&self) -> Nanos {
         self.tuning.tick_interval * self.tuning.election_ticks as u64
     }
 
     /// The node of a voter.
     fn node_of(&self, voter: u64) -> Option<Name> {
         let known = self.applied.voters.get(&voter).map(|name| Name::from(name.as_str()));
-        known.or_else(|| self.names.get(&voter).cloned())
+        known.or_else(|| self.voter_nodes.get(&voter).cloned())
     }
 
-    fn fault(&mut self, fault: wire::DatagramError) {
-        *self.faults.entry(fault).or_default() += 1;
+    fn count_rejected(&mut self, fault: wire::DatagramError) {
+        *self.rejected_datagrams.entry(fault).or_default() += 1;
     }
 
     /// Datagrams without effect, by reason.
     pub fn rejected_datagrams(&self) -> &BTreeMap<wire::DatagramError, u64> {
-        &self.faults
+        &self.rejected_datagrams
     }
 
     /// Bytes sent since the start.
@@ -286,9 +295,10 @@
         Status {
             group: self.group(),
             index: self.applied.index,
-            latest_announced: self.told.max(self.applied.index),
-            is_current: self.applied.index >= self.told
-                && now.saturating_sub(self.heard) <= self.tuning.stale_after + self.tuning.pull_interval,
+            latest_announced: self.latest_announced.max(self.applied.index),
+            is_current: self.applied.index >= self.latest_announced
+                && now.saturating_sub(self.last_received)
+                    <= self.tuning.stale_after + self.tuning.pull_interval,
             voter_slot: self.replica.as_ref().map(|replica| replica.voter),
             is_leader: self.leading_term().is_some(),
             voters: self.applied.voters.clone(),
@@ -297,31 +307,38 @@
 
     /// Everything about the replica in a line, for whoever looks for a fault.
     pub fn debug_summary(&self) -> String {
-        let replica = self.replica.as_ref().map(Replica::inside);
-        let (saving, frozen, hello) = (self.saving, self.frozen, &self.hello);
+        let replica = self.replica.as_ref().map(Replica::debug_summary);
+        let (saving, frozen, hello) =
+            (self.write_in_progress, self.disk_failed_since, &self.rejoin_confirmations);
         format!(
             "{} at {} of {}, {replica:?}, {saving:?}, frozen {frozen:?}, hello {hello:?}",
-            self.voter, self.applied.index, self.told
+            self.voter, self.applied.index, self.latest_announced
         )
     }
 
     /// The term in which this node leads.
     pub fn leading_term(&self) -> Option<u64> {
-        self.replica.as_ref().filter(|replica| replica.leads() && self.frozen.is_none()).map(Replica::term)
+        self.replica
+            .as_ref()
+            .filter(|replica| replica.is_leader() && self.disk_failed_since.is_none())
+            .map(Replica::term)
     }
 
     /// What this node's number has voted for, by term, where that is durable: nobody was told before.
     pub fn durable_vote(&self) -> Option<(u64, u64, u64)> {
-        let replica = self.replica.as_ref().filter(|_| self.saving.is_none() && self.frozen.is_none())?;
-        let (term, vote) = replica.hard();
+        let replica = self
+            .replica
+            .as_ref()
+            .filter(|_| self.write_in_progress.is_none() && self.disk_failed_since.is_none())?;
+        let (term, vote) = replica.term_and_vote();
         Some((replica.voter, term, vote)).filter(|_| vote != 0)
     }
 
     fn send(&mut self, to: &Name, body: Body, out: &mut Vec<Action>) {
         let Some(address) = self.peers.get(to).map(|peer| peer.address) else { return };
         let envelope = Envelope {
-            cluster: self.id.cluster,
-            from: self.id.name.clone(),
+            cluster: self.identity.cluster,
+            from: self.identity.name.clone(),
             to: to.clone(),
             group: self.group(),
             index: self.applied.index,
@@ -334,59 +351,64 @@
         }
     }
 
-    fn hear(&mut self, now: Nanos, envelope: Envelope, out: &mut Vec<Action>) {
+    fn receive(&mut self, now: Nanos, envelope: Envelope, out: &mut Vec<Action>) {
         let Envelope { from, group, index, body, .. } = envelope;
         if group == self.group() {
-            self.heard = now;
-            self.told = self.told.max(index);
+            self.last_received = now;
+            self.latest_announced = self.latest_announced.max(index);
         }
         let later = group != self.group()
-            && replication::rank(group, index) > replication::rank(self.group(), self.applied.index);
-        if later && now >= self.next.later && !self.is_bound_to_another(group) {
+            && replication::log_rank(group, index) > replication::log_rank(self.group(), self.applied.index);
+        if later && now >= self.deadlines.later_log_pull && !self.is_bound_to_other_group(group) {
             // A later log, whoever tells of it: the one that is held here decides nothing any more.
-            self.next.later = now + self.tuning.pull_interval / 4;
+            self.deadlines.later_log_pull = now + self.tuning.pull_interval / 4;
             self.pull_from(now, from.clone(), out);
         }
         match body {
-            Body::Raft { starts, message } => self.raft(now, &from, group, starts, *message, out),
-            Body::Hello { voter, starts } => self.greeted(&from, voter, starts, out),
-            Body::Seen { voter, starts, seen } => self.known(from, voter, starts, seen, out),
+            Body::Raft { starts, message } => self.receive_raft(now, &from, group, starts, *message, out),
+            Body::Hello { voter, starts } => self.receive_hello(&from, voter, starts, out),
+            Body::Seen { voter, starts, seen } => self.receive_seen(from, voter, starts, seen, out),
             Body::Ask => {
-                let word = Body::Word { holds: self.is_bound(), voter: self.says(now) };
+                let word = Body::Word { holds: self.may_hold_replica(), voter: self.announced_voter(now) };
                 self.send(&from, word, out);
             }
             Body::Word { holds, voter } => {
-                self.words.insert(from, Word { at: now, holds, voter, group, index });
+                self.candidate_reports
+                    .insert(from, CandidateReport { received: now, holds_slot: holds, voter, group, index });
+            }
+            Body::Propose { command, hops } => self.forward(&command, hops, out),
+            Body::Pull { digest } => self.receive_pull(now, from, group, index, digest, out),
+            Body::Entries(entries) => self.receive_entries(now, &from, group, entries, out),
+            Body::Whole { index, length, sum } => {
+                self.receive_state_offer(now, from, group, index, length, sum, out)
+            }
+            Body::Fetch { index, offset } => self.receive_fetch(&from, index, offset, out),
+            Body::Piece { index, offset, bytes } => {
+                self.receive_piece(now, &from, index, offset, &bytes, out)
             }
-            Body::Propose { command, hops } => self.passed_on(&command, hops, out),
-            Body::Pull { digest } => self.pulled(now, from, group, index, digest, out),
-            Body::Entries(entries) => self.entries(now, &from, group, entries, out),
-            Body::Whole { index, length, sum } => self.offer(now, from, group, index, length, sum, out),
-            Body::Fetch { index, offset } => self.fetched(&from, index, offset, out),
-            Body::Piece { index, offset, bytes } => self.piece(now, &from, index, offset, &bytes, out),
-            Body::Differs { index, part } => self.differs(now, from, group, index, part, out),
+            Body::Differs { index, part } => self.receive_divergence(now, from, group, index, part, out),
         }
     }
 
     /// All that has come due.
-    fn turn(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        self.thaw(now, out);
-        self.greet(now, out);
-        self.sit(now, out);
-        self.tick(now, out);
-        self.drive(now, out);
-        self.found(now, out);
-        self.free(now, out);
-        self.pull(now, out);
-        self.push(now, out);
-        self.resend(now, out);
-        if now >= self.next.look {
-            self.next.look = now + self.tuning.pull_interval;
-            self.replace(now, out);
+    fn run_due(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        self.retry_failed_write(now, out);
+        self.request_rejoin(now, out);
+        self.update_voter_slot(now, out);
+        self.tick_replica(now, out);
+        self.process_ready(now, out);
+        self.try_form_group(now, out);
+        self.release_slot_of_lost_group(now, out);
+        self.pull_if_due(now, out);
+        self.push_to_children(now, out);
+        self.resend_proposals(now, out);
+        if now >= self.deadlines.voter_check {
+            self.deadlines.voter_check = now + self.tuning.pull_interval;
+            self.replace_voters(now, out);
         }
         let leads = self.leading_term();
-        if leads != self.led {
-            self.led = leads;
+        if leads != self.notified_leadership {
+            self.notified_leadership = leads;
             out.push(Action::Notify(Notification::Leadership(leads)));
         }
     }
--- a/crates/replicated-log/src/machine/proposals.rs
+++ b/crates/replicated-log/src/machine/proposals.rs
@@ -14,8 +14,8 @@
 #[derive(Clone, Debug)]
 pub struct Proposal {
     command: Command,
-    since: Nanos,
-    pub next: Nanos,
+    proposed: Nanos,
+    pub next_send: Nanos,
 }
 
 impl ReplicatedLog {
@@ -33,7 +33,7 @@
         Ok(())
     }
 
-    pub(super) fn take(&mut self, now: Nanos, command: Command, out: &mut Vec<Action>) {
+    pub(super) fn accept_proposal(&mut self, now: Nanos, command: Command, out: &mut Vec<Action>) {
         let id = command.id;
         if self.check_proposal(&command).is_err() {
             return out.push(Action::Notify(Notification::ProposalTimedOut(id)));
@@ -44,43 +44,47 @@
         if self.tuning.defect == Some(Defect::ConfirmsEarly) {
             out.push(Action::Notify(Notification::Outcome(id, Outcome::Done(self.applied.index + 1))));
         }
-        self.proposals.entry(id).or_insert(Proposal { command, since: now, next: now });
+        self.proposals.entry(id).or_insert(Proposal { command, proposed: now, next_send: now });
     }
 
     /// Sends what is not confirmed, again and again: its id lets it take effect once.
-    pub(super) fn resend(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let due: Vec<CommandId> =
-            self.proposals.iter().filter(|(_, proposal)| proposal.next <= now).map(|(id, _)| *id).collect();
+    pub(super) fn resend_proposals(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let due: Vec<CommandId> = self
+            .proposals
+            .iter()
+            .filter(|(_, proposal)| proposal.next_send <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in due {
             let Some(proposal) = self.proposals.get_mut(&id) else { continue };
-            if now.saturating_sub(proposal.since) >= self.tuning.proposal_timeout {
+            if now.saturating_sub(proposal.proposed) >= self.tuning.proposal_timeout {
                 self.proposals.remove(&id);
                 out.push(Action::Notify(Notification::ProposalTimedOut(id)));
                 continue;
             }
-            proposal.next = now + self.tuning.resend_interval;
+            proposal.next_send = now + self.tuning.resend_interval;
             let command = proposal.command.clone();
-            self.passed_on(&command, 0, out);
+            self.forward(&command, 0, out);
         }
-        self.drive(now, out);
+        self.process_ready(now, out);
     }
 
     /// Takes a command to the leader: this node, or the one that is known, or a voter who may know. It is sent on so
     /// often and no more, whatever nodes believe of each other.
-    pub(super) fn passed_on(&mut self, command: &Command, hops: u8, out: &mut Vec<Action>) {
-        if self.hello.is_some() || hops >= MAX_HOPS {
-            return self.lead(command);
+    pub(super) fn forward(&mut self, command: &Command, hops: u8, out: &mut Vec<Action>) {
+        if self.rejoin_confirmations.is_some() || hops >= MAX_HOPS {
+            return self.propose_locally(command);
         }
-        let replica = self.replica.as_ref().filter(|_| self.frozen.is_none());
+        let replica = self.replica.as_ref().filter(|_| self.disk_failed_since.is_none());
         let leader = replica.and_then(|replica| replica.leader());
         let to = match (leader, replica.is_some()) {
-            (Some(leader), _) if leader == self.voter => return self.lead(command),
+            (Some(leader), _) if leader == self.voter => return self.propose_locally(command),
             (Some(leader), _) => self.node_of(leader),
             (None, true) => None,
             // Only who proposes it looks for a voter.
             (None, false) => {
                 let others: Vec<Name> =
-                    self.others().into_iter().filter(|name| *name != self.id.name).collect();
+                    self.other_voter_nodes().into_iter().filter(|name| *name != self.identity.name).collect();
                 (hops == 0 && !others.is_empty()).then(|| others[self.rng.usize(0..others.len())].clone())
             }
         };
@@ -90,8 +94,8 @@
     }
 
     /// Proposes it if this node leads; one that there is no room for comes again.
-    fn lead(&mut self, command: &Command) {
-        if self.hello.is_none() && self.frozen.is_none() {
+    fn propose_locally(&mut self, command: &Command) {
+        if self.rejoin_confirmations.is_none() && self.disk_failed_since.is_none() {
             if let Some(replica) = &mut self.replica {
                 replica.propose(command);
             }
--- a/crates/replicated-log/src/replica/store.rs
+++ b/crates/replicated-log/src/replica/store.rs
@@ -8,16 +8,16 @@
 
 /// The log of a replica. Clones share it.
 #[derive(Clone)]
-pub struct Store(MemStorage);
+pub struct LogStorage(MemStorage);
 
-impl Store {
+impl LogStorage {
     /// A log that begins after this state, as a voter with this term and vote has it.
-    pub fn after(state: &AppliedState, term: u64, vote: u64) -> Self {
+    pub fn with_base_state(state: &AppliedState, term: u64, vote: u64) -> Self {
         let store = MemStorage::new();
         let mut base = Snapshot::default();
         let meta = base.mut_metadata();
         (meta.index, meta.term) = (state.index, state.term);
-        meta.set_conf_state(conf(state));
+        meta.set_conf_state(conf_state(state));
         {
             let mut core = store.wl();
             // Only fails for what is older than the empty log.
@@ -25,7 +25,7 @@
             let hard = core.mut_hard_state();
             (hard.term, hard.vote, hard.commit) = (term.max(state.term), vote, state.index);
         }
-        Store(store)
+        LogStorage(store)
     }
 
     /// Adds entries, in place of any that stand at theirs; false if they do not follow what is there.
@@ -38,17 +38,17 @@
     }
 
     /// Keeps term, vote and how far all is agreed.
-    pub fn set_hard(&self, hard: HardState) {
+    pub fn set_hard_state(&self, hard: HardState) {
         self.0.wl().set_hardstate(hard);
     }
 
     /// Keeps how far all is agreed.
-    pub fn commit(&self, index: u64) {
+    pub fn set_commit(&self, index: u64) {
         self.0.wl().mut_hard_state().commit = index;
     }
 
     /// Who votes.
-    pub fn set_conf(&self, conf: ConfState) {
+    pub fn set_conf_state(&self, conf: ConfState) {
         self.0.wl().set_conf_state(conf);
     }
 
@@ -59,17 +59,17 @@
     }
 
     /// Term, vote and how far all is agreed.
-    pub fn hard(&self) -> HardState {
+    pub fn hard_state(&self) -> HardState {
         self.0.initial_state().map(|state| state.hard_state).unwrap_or_default()
     }
 }
 
 /// Who votes by this state.
-pub fn conf(state: &AppliedState) -> ConfState {
+pub fn conf_state(state: &AppliedState) -> ConfState {
     ConfState { voters: state.voters.keys().copied().collect(), ..ConfState::default() }
 }
 
-impl Storage for Store {
+impl Storage for LogStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
         self.0.initial_state()
     }
--- a/crates/replicated-log/src/wire.rs
+++ b/crates/replicated-log/src/wire.rs
@@ -17,8 +17,8 @@
 pub const PIECE_BYTES: usize = 900;
 /// Bytes of entries that one datagram carries.
 pub const MAX_ENTRIES_BYTES: usize = 900;
-const MARK: [u8; 2] = *b"ma";
-const HEADER: usize = 7;
+const MAGIC: [u8; 2] = *b"ma";
+const HEADER_BYTES: usize = 7;
 
 /// Which log: its epoch, and the number drawn when its group was founded. A later one is greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -175,7 +175,7 @@
 
 impl RaftEntry {
     /// The same for the consensus; none if its kind is none.
-    pub fn entry(&self) -> Option<eraftpb::Entry> {
+    pub fn to_protobuf(&self) -> Option<eraftpb::Entry> {
         use eraftpb::EntryType::{EntryConfChange, EntryNormal};
         let mut entry = eraftpb::Entry::default();
         entry.set_entry_type([EntryNormal, EntryConfChange].into_iter().find(|k| *k as u8 == self.kind)?);
@@ -187,7 +187,7 @@
 
 impl RaftMessage {
     /// Which voter it is for.
-    pub fn to(&self) -> u64 {
+    pub fn recipient(&self) -> u64 {
         self.to
     }
 
@@ -212,7 +212,7 @@
     }
 
     /// The last entry in the state that the sender would send, where it says that the receiver is too far behind.
-    pub fn snapshot(&self) -> u64 {
+    pub fn snapshot_index(&self) -> u64 {
         self.snapshot.0
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// The same for the consensus; none if it is of a kind that does not travel.
-    pub fn message(&self) -> Option<eraftpb::Message> {
+    pub fn to_protobuf(&self) -> Option<eraftpb::Message> {
         use eraftpb::MessageType::*;
         let kinds = [
             MsgAppend,
@@ -240,7 +240,7 @@
         message.set_msg_type(kinds.into_iter().find(|kind| *kind as u8 == self.kind)?);
         (message.to, message.from, message.term) = (self.to, self.from, self.term);
         (message.log_term, message.index) = (self.log_term, self.index);
-        let entries: Option<Vec<eraftpb::Entry>> = self.entries.iter().map(RaftEntry::entry).collect();
+        let entries: Option<Vec<eraftpb::Entry>> = self.entries.iter().map(RaftEntry::to_protobuf).collect();
         message.set_entries(entries?.into());
         (message.commit, message.commit_term) = (self.commit, self.commit_term);
         if self.is_snapshot() {
@@ -306,8 +306,8 @@
 /// A datagram; none where it would be too long, which bounds on all that goes into one rule out.
 pub fn encode(envelope: &Envelope) -> Option<Vec<u8>> {
     let body = postcard::to_stdvec(envelope).ok()?;
-    let mut bytes = Vec::with_capacity(HEADER + body.len());
-    bytes.extend(MARK);
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+    bytes.extend(MAGIC);
     bytes.push(VERSION);
     bytes.extend(crc32c::crc32c(&body).to_le_bytes());
     bytes.extend(&body);
@@ -319,8 +319,8 @@
     if bytes.len() > MAX_DATAGRAM {
         return Err(DatagramError::TooLong);
     }
-    let (head, body) = bytes.split_at_checked(HEADER).ok_or(DatagramError::Malformed)?;
-    if head[..2] != MARK {
+    let (head, body) = bytes.split_at_checked(HEADER_BYTES).ok_or(DatagramError::Malformed)?;
+    if head[..2] != MAGIC {
         return Err(DatagramError::Malformed);
     }
     if head[2] != VERSION {
