--- a/crates/replicated-log/src/applied.rs
+++ b/crates/replicated-log/src/applied.rs
@@ -1,4 +1,4 @@
-//! What the agreed commands have made: the same on every node that has applied as many.
+//! The state that results from applying the log. It is the same on every node that has applied the same entries.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,38 +9,38 @@
     SET,
 };
 
-/// Ids whose outcome is remembered.
+/// Maximum number of command ids whose outcome is remembered; the oldest is dropped first.
 pub const MAX_REMEMBERED_IDS: usize = 4_096;
-/// Values in the register.
+/// Maximum number of values in the register.
 pub const MAX_VALUES: usize = 4_096;
-/// Commands between two digests.
+/// Number of entries between two digests of the state.
 pub const DIGEST_INTERVAL: u64 = 64;
-const MAX_DIGESTS: usize = 8; // that are remembered
+const MAX_DIGESTS: usize = 8;
 
-/// Parts of the state, in the order of their digests.
+/// Names of the parts of the state, in the order of their checksums in a digest.
 pub const STATE_PARTS: [&str; 3] = ["voters", "ids", "register"];
 
 /// A value of the register.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// Index of the command that set it.
+    /// Index of the command that set the value.
     pub revision: u64,
-    /// It.
+    /// The bytes of the value.
     pub value: Vec<u8>,
 }
 
-/// The state.
+/// The state after a prefix of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedState {
-    /// Which group's log, counted from the first; a later group's is greater.
+    /// Epoch of the group that owns the log; each new group increments it.
     pub epoch: u64,
-    /// Number drawn when the group was founded.
+    /// Random number of the group, generated when the group was formed.
     pub group: u64,
-    /// The last entry that is in it.
+    /// Index of the last applied entry.
     pub index: u64,
-    /// And its term.
+    /// Term of the last applied entry.
     pub term: u64,
-    /// Voters by number, with their nodes' names.
+    /// Names of the voters' nodes by voter number.
     pub voters: BTreeMap<u64, String>,
     ids: BTreeMap<CommandId, Outcome>,
     order: VecDeque<CommandId>,
@@ -48,22 +48,22 @@
     digests: VecDeque<(u64, [u32; STATE_PARTS.len()])>,
 }
 
-/// A command that this version does not know: nothing after it is applied here.
+/// A command of a kind that this version does not know. The node applies neither it nor any later entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownCommand {
-    /// Its place.
+    /// Index of the command.
     pub index: u64,
-    /// Its kind.
+    /// Kind of the command.
     pub kind: u16,
 }
 
 impl AppliedState {
-    /// The first state of a group that these voters found, on top of what was agreed before.
+    /// The initial state of a new group with these voters. It keeps the ids and the register of this state.
     pub fn with_new_group(self, group: u64, voters: BTreeMap<u64, String>) -> Self {
         AppliedState {
             epoch: self.epoch + 1,
             group,
-            // A new log at a place of its own: no entry of the one before can be taken for one of this.
+            // The new log starts at a new index, so that no entry of the previous log can be taken for one of its own.
             index: self.index + 1,
             term: 1,
             voters,
@@ -72,9 +72,10 @@
         }
     }
 
-    /// Takes the next entry. What it was to somebody who waits for it; none where it is nobody's.
+    /// Applies the next entry and returns the id and the outcome of its command; `None` if it holds no command.
+    /// `ignore_known_ids` applies a command again although its id is known; only an injected defect sets it.
     pub fn apply(
-        &mut self, entry: &Entry, twice: bool,
+        &mut self, entry: &Entry, ignore_known_ids: bool,
     ) -> Result<Option<(CommandId, Outcome)>, UnknownCommand> {
         let outcome = match &entry.what {
             EntryPayload::Nothing => None,
@@ -86,7 +87,7 @@
                 self.voters.remove(voter);
                 None
             }
-            EntryPayload::Command(command) => self.apply_command(entry.index, command, twice)?,
+            EntryPayload::Command(command) => self.apply_command(entry.index, command, ignore_known_ids)?,
         };
         (self.index, self.term) = (entry.index, entry.term);
         if self.index.is_multiple_of(DIGEST_INTERVAL) {
@@ -99,9 +100,9 @@
     }
 
     fn apply_command(
-        &mut self, index: u64, command: &Command, twice: bool,
+        &mut self, index: u64, command: &Command, ignore_known_ids: bool,
     ) -> Result<Option<(CommandId, Outcome)>, UnknownCommand> {
-        if let Some(known) = self.ids.get(&command.id).filter(|_| !twice) {
+        if let Some(known) = self.ids.get(&command.id).filter(|_| !ignore_known_ids) {
             return Ok(Some((command.id, known.clone())));
         }
         let outcome = match command.kind {
@@ -126,11 +127,11 @@
         if set.key.is_empty() || set.key.len() > MAX_KEY_BYTES {
             return Err(Refusal::Key);
         }
-        let stands = self.register.get(&set.key).map_or(0, |value| value.revision);
-        if set.expect.is_some_and(|expect| expect != stands) {
-            return Err(Refusal::Revision(stands));
+        let revision = self.register.get(&set.key).map_or(0, |value| value.revision);
+        if set.expect.is_some_and(|expect| expect != revision) {
+            return Err(Refusal::Revision(revision));
         }
-        if stands == 0 && self.register.len() >= MAX_VALUES {
+        if revision == 0 && self.register.len() >= MAX_VALUES {
             return Err(Refusal::Full);
         }
         if set.value.is_empty() {
@@ -141,53 +142,54 @@
         Ok(())
     }
 
-    /// A value of the register.
+    /// The value of a key in the register.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.register.get(key)
     }
 
-    /// All of it.
+    /// All keys and values of the register, in the order of the keys.
     pub fn values(&self) -> impl Iterator<Item = (&str, &Value)> {
         self.register.iter().map(|(key, value)| (key.as_str(), value))
     }
 
-    /// What came of a command, if it is remembered.
+    /// The outcome of a command, if it is still remembered.
     pub fn outcome(&self, id: CommandId) -> Option<&Outcome> {
         self.ids.get(&id)
     }
 
     fn part_checksums(&self) -> [u32; STATE_PARTS.len()] {
-        let sum = |bytes: Result<Vec<u8>, postcard::Error>| bytes.map_or(0, |bytes| crc32c::crc32c(&bytes));
+        let checksum =
+            |bytes: Result<Vec<u8>, postcard::Error>| bytes.map_or(0, |bytes| crc32c::crc32c(&bytes));
         [
-            sum(postcard::to_stdvec(&self.voters)),
-            sum(postcard::to_stdvec(&(&self.ids, &self.order))),
-            sum(postcard::to_stdvec(&self.register)),
+            checksum(postcard::to_stdvec(&self.voters)),
+            checksum(postcard::to_stdvec(&(&self.ids, &self.order))),
+            checksum(postcard::to_stdvec(&self.register)),
         ]
     }
 
-    /// The last digest: as of which index, and of each part.
+    /// The last digest: its index, and the checksum of each part.
     pub fn digest(&self) -> Option<(u64, [u32; STATE_PARTS.len()])> {
         self.digests.back().copied()
     }
 
-    /// The first part that differs from a digest of another node, where both have one of the same index.
+    /// The first part that differs from another node's digest. `None` if there is no local digest at `index`.
     pub fn first_difference(&self, index: u64, parts: &[u32; STATE_PARTS.len()]) -> Option<&'static str> {
-        let (_, own) = self.digests.iter().find(|(at, _)| *at == index)?;
-        let first = own.iter().zip(parts).position(|(own, other)| own != other)?;
+        let (_, local) = self.digests.iter().find(|(at, _)| *at == index)?;
+        let first = local.iter().zip(parts).position(|(local, other)| local != other)?;
         STATE_PARTS.get(first).copied()
     }
 
-    /// The whole, to be kept or sent.
+    /// Encodes the whole state, to be stored or sent.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// A whole that was kept or sent; none if it is not one.
+    /// Decodes a state; `None` if the bytes are not a valid encoding.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Spoils a part, as a bad memory would; for tests of the comparison.
+    /// Corrupts the register as faulty memory might, for tests of the comparison of digests.
     pub fn corrupt_for_test(&mut self) {
         self.register.insert("spoilt".to_owned(), Value { revision: 1, value: vec![1] });
     }
--- a/crates/replicated-log/src/command.rs
+++ b/crates/replicated-log/src/command.rs
@@ -1,113 +1,114 @@
-//! Commands: what is agreed on, and what came of it.
+//! Commands, their outcomes, and the entries of the log.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Bytes of a command's body at most: it travels in one datagram with what says where it belongs.
+/// Maximum size of a command's body in bytes. The body and its addressing must fit into one datagram.
 pub const MAX_BODY_BYTES: usize = 640;
-/// Bytes of a key at most.
+/// Maximum size of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 64;
 
-/// Names a command; the same id takes effect once, however often it is sent.
+/// Identifies a command. Commands with the same id take effect once, however often they are sent.
 pub type CommandId = u128;
 
-/// What is agreed on.
+/// A command to be committed to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Command {
-    /// Its id; 0 for one that changes nothing and may come as often as it likes.
+    /// The id; 0 is reserved for commands that change nothing and may be repeated.
     pub id: CommandId,
-    /// What it is, by number, so that an older version can name what it does not know.
+    /// The kind as a number, so that an older version can report a kind that it does not know.
     pub kind: u16,
-    /// The rest, in the form of its kind.
+    /// The encoded body; its format depends on the kind.
     pub body: Vec<u8>,
 }
 
-/// Changes nothing: once it is applied here, so is all that was confirmed before it was asked.
+/// A command that changes nothing. Once it is applied on a node, every command that was confirmed before it was
+/// proposed is applied there too.
 pub const BARRIER: u16 = 0;
-/// Sets a value of the register: a [`Set`].
+/// A command that sets a value of the register; its body is a [`Set`].
 pub const SET: u16 = 1;
 
-/// Body of [`SET`].
+/// Body of a [`SET`] command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Set {
-    /// Which value.
+    /// Key of the value.
     pub key: String,
-    /// Only where it stands at this revision; none: whatever it stands at.
+    /// The revision that the value must have; `None` sets it at any revision.
     pub expect: Option<u64>,
-    /// What it is from then on.
+    /// The new value; an empty value removes the key.
     pub value: Vec<u8>,
 }
 
-/// What came of a command, the same on every node.
+/// Outcome of a committed command, the same on every node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It took effect, at this index.
+    /// The command took effect at this index.
     Done(u64),
-    /// It changes nothing, by a rule that every node applied alike.
+    /// The command changed nothing, by a rule that every node applies in the same way.
     SetAside(Refusal),
 }
 
-/// Why a command was set aside.
+/// Why a committed command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Error)]
 pub enum Refusal {
-    /// It cannot be read.
-    #[error("its body is not of its kind: send it from a node of the newest version")]
+    /// The body cannot be decoded.
+    #[error(
+        "the command body cannot be decoded for its kind; send it from a node that runs the newest version"
+    )]
     Malformed,
-    /// The value has changed meanwhile.
-    #[error("the value stands at revision {0}: read it again and decide anew")]
+    /// The value is not at the expected revision; it is at this one.
+    #[error("the value is at revision {0}, not at the expected one; read it again before retrying")]
     Revision(u64),
-    /// No further value fits.
-    #[error("the register is full: take out a value that nobody needs")]
+    /// The register holds its maximum number of values.
+    #[error("the register is full; remove a value that is no longer needed")]
     Full,
-    /// No value can have that name.
-    #[error("the key is empty or over {MAX_KEY_BYTES} bytes: choose another")]
+    /// The key is empty or too long.
+    #[error("the key must have 1 to {MAX_KEY_BYTES} bytes")]
     Key,
 }
 
-/// Why a command cannot be sent at all.
+/// Why a command cannot be proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProposalError {
-    /// Too long for one datagram.
-    #[error("{0} bytes, {MAX_BODY_BYTES} at most: split it")]
+    /// The body is too long for one datagram.
+    #[error("the command body has {0} bytes, but at most {MAX_BODY_BYTES} are allowed; split the command")]
     TooLong(usize),
-    /// No more wait here.
-    #[error(
-        "too many commands wait here for an answer: see whether the group has a majority, then try again"
-    )]
+    /// Too many commands are pending on this node.
+    #[error("too many commands are waiting for an outcome; check that the group has a majority, then retry")]
     QueueFull,
-    /// It could not be told from others.
-    #[error("id 0 stands for no command: draw another")]
+    /// Id 0 does not identify a command.
+    #[error("command id 0 is reserved; generate a nonzero id")]
     ReservedId,
 }
 
-/// An agreed command at its place.
+/// A committed entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// Its index in the log.
     pub index: u64,
-    /// The term in which it was agreed.
+    /// The term in which it was proposed.
     pub term: u64,
-    /// What it is.
+    /// Its payload.
     pub what: EntryPayload,
 }
 
-/// What stands at a place of the log.
+/// Payload of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// A leader's first entry, which changes nothing.
+    /// The empty entry with which a leader begins its term; it changes nothing.
     Nothing,
     /// A command.
     Command(Command),
-    /// A voter comes in.
+    /// A voter is added to the group.
     Seat {
-        /// Its number.
+        /// Its voter number.
         voter: u64,
         /// The node's name.
         name: String,
     },
-    /// A voter goes.
+    /// A voter is removed from the group.
     Unseat {
-        /// Its number.
+        /// Its voter number.
         voter: u64,
     },
 }
--- a/crates/replicated-log/src/config.rs
+++ b/crates/replicated-log/src/config.rs
@@ -1,87 +1,87 @@
-//! Who takes part, and the times by which it is done.
+//! The identity of a node, its peers, and the timing and size parameters of the log.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Nanoseconds on a clock that only rises.
+/// A point in time or a duration in nanoseconds of a monotonic clock.
 pub type Nanos = u64;
-/// A millisecond.
+/// One millisecond.
 pub const MS: Nanos = 1_000_000;
-/// A second.
+/// One second.
 pub const SECOND: Nanos = 1_000 * MS;
 
 /// The name of a node.
 pub type Name = Arc<str>;
 
-/// A node's part in the log.
+/// Who this node is, and which nodes may vote.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Number of the fleet: datagrams of others are not heard.
+    /// Number of the fleet; datagrams of other fleets are rejected.
     pub cluster: u64,
     /// The node's name.
     pub name: Name,
-    /// The number of this start: greater than that of any before on this disk.
+    /// The number of this start, greater than that of any earlier start on the same disk.
     pub start_number: u64,
-    /// Names of the nodes that may vote, the same at every node.
+    /// Names of the nodes that may vote; the list is the same on every node.
     pub candidates: Vec<Name>,
-    /// How many of them vote: 3, 5 or 7.
+    /// The number of voters in a full group: 3, 5 or 7.
     pub voter_count: usize,
 }
 
-/// What the membership says of a node, as it is seen here.
+/// A node as the local membership view describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// The node's name.
     pub name: Name,
-    /// Where it hears datagrams of the log.
+    /// The address at which it receives datagrams of the log.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Name,
     /// Its machine.
     pub machine: Name,
-    /// Whether it is held alive.
+    /// Whether the membership considers it alive.
     pub alive: bool,
 }
 
-/// Times and bounds.
+/// Timing and size parameters.
 #[derive(Clone, Debug)]
 pub struct Tuning {
-    /// Between two ticks of the consensus.
+    /// Interval between two ticks of the consensus.
     pub tick_interval: Nanos,
-    /// Ticks without a leader until an election, and up to as many more, drawn.
+    /// Ticks without a leader before an election; a random extra delay of up to as many ticks is added.
     pub election_ticks: usize,
-    /// Ticks between a leader's heartbeats.
+    /// Ticks between two heartbeats of a leader.
     pub heartbeat_ticks: usize,
-    /// A voter gone for so long is replaced.
+    /// How long a voter must be unavailable before it is replaced.
     pub replace_after: Nanos,
-    /// Between a follower's pulls.
+    /// Average interval between two pulls of a follower.
     pub pull_interval: Nanos,
-    /// Without news from its parent, a follower asks a voter.
+    /// How long a follower waits for a message about its log before it pulls from a voter instead of its parent.
     pub stale_after: Nanos,
-    /// Between two sends of a command that is not confirmed.
+    /// Interval between two sends of an unconfirmed command.
     pub resend_interval: Nanos,
-    /// After so long a command that is not confirmed is given up: it may still come to be.
+    /// After this time an unconfirmed command is given up; it may still be committed later.
     pub proposal_timeout: Nanos,
-    /// Applied entries kept for those behind.
+    /// Applied entries retained for nodes that are behind.
     pub retained_entries: u64,
-    /// Children of a node in the tree.
+    /// Children of a node in the replication tree.
     pub fan_out: usize,
-    /// Planted defects, for tests of the checkers; none in the product.
+    /// An injected defect, for tests that the invariant checks detect it; `None` in the product.
     pub defect: Option<Defect>,
 }
 
-/// What a double does wrong.
+/// A defect that makes a node violate the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Votes under its old number without what it had promised.
+    /// After a restart, the node votes under its old number without its stored vote.
     ForgetsVote,
-    /// Applies what is not yet agreed.
+    /// The node applies entries that are not committed yet.
     AppliesEarly,
-    /// Lets a command take effect each time that it comes.
+    /// The node applies a command again each time it appears in the log.
     AppliesTwice,
-    /// Confirms before the command is agreed.
+    /// The node confirms a command before it is committed.
     ConfirmsEarly,
-    /// Founds a group without asking.
+    /// The node forms a group without asking the other candidates.
     FoundsAlone,
 }
 
@@ -104,13 +104,13 @@
 }
 
 impl Identity {
-    /// Votes that decide in a full group.
+    /// Votes needed for a decision in a full group.
     pub fn majority(&self) -> usize {
         self.voter_count / 2 + 1
     }
 
-    /// So many candidates, this one among them, must hold no group before one is founded: any majority of an older
-    /// group meets them.
+    /// How many candidates, including this one, must report that they are in no group before a new group may be
+    /// formed. Any majority of an older group shares at least one candidate with them.
     pub fn founding_quorum(&self) -> usize {
         self.candidates.len() + 1 - self.majority().min(self.candidates.len())
     }
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,11 +1,13 @@
-//! The agreed log: one order of commands for the whole fleet.
+//! A replicated log: every node of the fleet applies the same commands in the same order.
 //!
-//! A pure machine. Time, datagrams, the membership's view and word of the disk come in; datagrams, writes and notes
-//! come out. It opens no socket, reads no clock and writes no file: the same code runs in the product and, by the
-//! thousand, in virtual time. Consensus is the crate `raft`'s; who may vote, how a group is founded, how every node
-//! comes by what is agreed and what a command does are here.
+//! The crate is a deterministic state machine. Time, datagrams, the membership's view and the results of disk writes
+//! are its input; datagrams, file writes and notifications are its output. It opens no socket, reads no clock and
+//! writes no file, so the same code runs in the product and, in thousands of instances, in a simulation in virtual
+//! time. Consensus itself is provided by the crate `raft`. This crate decides which nodes vote, forms the first group,
+//! replicates committed entries to all nodes and defines what a command does.
 //!
-//! Nothing that serves waits for it. What a node acts on is the state that it holds, which says how old it may be.
+//! Serving requests never waits for the log. A node acts on its local state, and [`Status`] says whether that state
+//! is current.
 
 pub mod applied;
 pub mod command;
--- a/crates/replicated-log/src/machine/mod.rs
+++ b/crates/replicated-log/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! A node's part in the log: events and time go in, actions come out.
+//! The state machine of one node: it takes events and the current time, and returns actions.
 
 mod bootstrap;
 mod local_replica;
@@ -6,8 +6,9 @@
 mod replication;
 mod voter_replacement;
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
+use std::sync::Arc;
 
 use crate::applied::{AppliedState, UnknownCommand};
 use crate::command::{Command, CommandId, Entry, Outcome};
@@ -19,80 +20,84 @@
 use proposals::Proposal;
 use replication::{Child, StateFetch};
 
-/// What a node is told.
+/// Input of the state machine.
 #[derive(Debug)]
 pub enum Event<'a> {
     /// Time has passed.
     Tick,
-    /// A datagram came.
+    /// A datagram was received.
     Datagram(&'a [u8]),
-    /// Who is there, as the membership sees it now.
+    /// The membership's current view of all nodes.
     Peers(Vec<Peer>),
-    /// The last writes are durable, or one of them failed: all is then written anew until it is taken.
+    /// The last requested writes are durable (`true`), or one of them failed (`false`). After a failure everything is
+    /// rewritten until the disk accepts it.
     Persisted(bool),
-    /// A command is to be agreed; its outcome is told.
+    /// A command is to be committed. Its outcome is reported by a [`Notification`].
     Propose(Command),
 }
 
-/// What it wants done.
+/// Output of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this datagram.
+    /// Send a datagram.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// The encoded datagram.
         bytes: Vec<u8>,
     },
-    /// Write these files in this order, and tell whether they are durable. At most one is under way.
+    /// Write these files in this order and report the result by [`Event::Persisted`]. No further request comes before
+    /// the result is reported.
     Persist(Vec<FileWrite>),
-    /// Something that others may want to know.
+    /// Report something to the caller.
     Notify(Notification),
 }
 
-/// What others may want to know.
+/// A change that the caller may act on or log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
-    /// The state here has taken this entry.
+    /// The local state has applied this entry.
     Applied(Entry),
-    /// The state here has jumped to this log and place.
+    /// The local state was replaced by that of this group at this index.
     StateReplaced(Group, u64),
-    /// What came of a command that was proposed here.
+    /// The outcome of a command that was proposed on this node.
     Outcome(CommandId, Outcome),
-    /// Nobody has confirmed it in time; it may still come to be, and may be proposed again by the same id.
+    /// The command was not confirmed in time, or could not be accepted. It may still be committed, and may be proposed
+    /// again with the same id.
     ProposalTimedOut(CommandId),
-    /// This node has taken a voter slot, or has given it up.
+    /// The node took the voter slot with this number, or lost its slot.
     VoterSlot(Option<u64>),
-    /// This node leads in this term, or no longer.
+    /// The node became the leader in this term, or is no longer the leader.
     Leadership(Option<u64>),
-    /// Nothing after this entry is applied here: upgrade the node.
+    /// The node cannot apply this command or any later entry and must be upgraded.
     Halted(UnknownCommand),
-    /// A copy differed as of this entry and is fetched anew: which node's, and which part.
+    /// The state of the named node differs from a voter's at this index in the named part. That node fetches it again.
     StateDiverged(Name, u64, String),
-    /// What stands on the disk is not believed, for this reason.
+    /// The content of the disk is not trusted, for this reason.
     StorageRejected(&'static str),
 }
 
-/// How the log stands here.
+/// The local status of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Which log.
+    /// The group that owns the log.
     pub group: Group,
-    /// The last entry applied here.
+    /// Index of the last entry applied on this node.
     pub index: u64,
-    /// The last entry that anybody told of.
+    /// Highest index that any node has announced as applied.
     pub latest_announced: u64,
-    /// Whether what is held here is as new as anybody told within the last while; else it is old.
+    /// Whether every announced entry is applied here and another node has sent a message about this log recently
+    /// (within [`Tuning::stale_after`] plus [`Tuning::pull_interval`]). Otherwise the state may be outdated.
     pub is_current: bool,
-    /// The number of the voter slot.
+    /// Number of the local voter slot, if the node has one.
     pub voter_slot: Option<u64>,
-    /// Whether this node leads.
+    /// Whether this node is the leader.
     pub is_leader: bool,
-    /// Voters, by number, with their nodes' names.
+    /// Names of the voters' nodes by voter number.
     pub voters: BTreeMap<u64, String>,
 }
 
-/// One node's part.
+/// The state machine of one node.
 pub struct ReplicatedLog {
     identity: Identity,
     tuning: Tuning,
@@ -101,41 +106,50 @@
     applied: AppliedState,
     recent_entries: VecDeque<Entry>,
     latest_announced: u64,
-    last_received: Nanos, // when somebody last told something of this log
+    /// When a datagram about this log was last received.
+    last_received: Nanos,
     halted_at: Option<UnknownCommand>,
     replica: Option<Replica>,
-    voter: u64, // the number by which this node votes, or would
+    /// The number by which this node votes or would vote.
+    voter: u64,
     disk_image: Option<DiskImage>,
     write_in_progress: Option<PendingWrite>,
     write_started: Nanos,
-    last_event: Nanos,                // when this node last had its turn
-    voter_nodes: BTreeMap<u64, Name>, // nodes of voters that were heard, also of such as the state here does not know yet
-    disk_failed_since: Option<Nanos>, // since when the disk takes nothing: the replica says nothing until it does
-    rejoin_confirmations: Option<std::collections::BTreeSet<Name>>, // who has let the old number in
+    last_event: Nanos,
+    /// Nodes by the voter number in their messages, including voters that the applied state does not list yet.
+    voter_nodes: BTreeMap<u64, Name>,
+    /// Since when writes fail. The replica sends nothing until the disk accepts a write.
+    disk_failed_since: Option<Nanos>,
+    /// After a restart: the nodes that know no later start of this voter number. `None` once a majority has confirmed.
+    rejoin_confirmations: Option<BTreeSet<Name>>,
+    /// The highest start count seen from each voter, by voter number.
     seen_starts: BTreeMap<u64, u64>,
     candidate_reports: BTreeMap<Name, CandidateReport>,
     started: Nanos,
     proposals: BTreeMap<CommandId, Proposal>,
     children: BTreeMap<Name, Child>,
     state_fetch: Option<StateFetch>,
-    offered_state: Option<(u64, std::sync::Arc<Vec<u8>>)>,
+    /// The encoded state that other nodes fetch from here, with the index of its last entry.
+    offered_state: Option<(u64, Arc<Vec<u8>>)>,
+    /// Since when each unavailable voter has been so, by voter number; kept by the leader.
     unavailable_since: BTreeMap<u64, Nanos>,
+    /// The leadership as last reported by [`Notification::Leadership`].
     notified_leadership: Option<u64>,
     deadlines: Deadlines,
     rejected_datagrams: BTreeMap<wire::DatagramError, u64>,
     sent_bytes: u64,
 }
 
-/// What the disk is busy with.
+/// Purpose of the writes in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PendingWrite {
-    /// What the consensus wants kept.
+    /// An update of the consensus, which waits for it.
     Replica,
-    /// Something that nothing waits for.
+    /// Files that the consensus does not wait for.
     Background,
 }
 
-/// When what is due next.
+/// The next time of each periodic task.
 #[derive(Clone, Copy, Debug, Default)]
 struct Deadlines {
     tick: Nanos,
@@ -149,13 +163,15 @@
 }
 
 impl ReplicatedLog {
-    /// A node that has just started; `kept` is what its disk held and is believed, none without a lasting disk.
+    /// Creates the state machine of a node that has just started. `stored` is the log loaded from its disk, or `None`
+    /// if the node has no durable disk.
     pub fn new(
-        id: Identity, tuning: Tuning, kept: Option<StoredLog>, seed: u64, now: Nanos, out: &mut Vec<Action>,
+        identity: Identity, tuning: Tuning, stored: Option<StoredLog>, seed: u64, now: Nanos,
+        actions: &mut Vec<Action>,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let fresh = rng.u64(1..);
-        let next = Deadlines {
+        let voter = rng.u64(1..);
+        let deadlines = Deadlines {
             pull: now,
             ask: now,
             voter_check: now,
@@ -166,7 +182,7 @@
             release_check: now,
         };
         let mut node = ReplicatedLog {
-            identity: id,
+            identity,
             tuning,
             rng,
             peers: BTreeMap::new(),
@@ -176,7 +192,7 @@
             last_received: 0,
             halted_at: None,
             replica: None,
-            voter: fresh,
+            voter,
             disk_image: None,
             write_in_progress: None,
             write_started: now,
@@ -193,20 +209,20 @@
             offered_state: None,
             unavailable_since: BTreeMap::new(),
             notified_leadership: None,
-            deadlines: next,
+            deadlines,
             rejected_datagrams: BTreeMap::new(),
             sent_bytes: 0,
         };
-        if let Some(kept) = kept {
-            node.restore(kept, out);
+        if let Some(stored) = stored {
+            node.restore(stored, actions);
         }
         node
     }
 
-    /// Takes one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
+    /// Processes one event and appends the resulting actions.
+    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         if now.saturating_sub(self.last_event) > self.election_timeout() {
-            self.replica.iter_mut().for_each(Replica::step_down); // this node was held up
+            self.replica.iter_mut().for_each(Replica::step_down); // the process was paused
         }
         self.last_event = now;
         match event {
@@ -218,19 +234,19 @@
                 Ok(envelope) if envelope.to != self.identity.name => {
                     self.count_rejected(wire::DatagramError::WrongRecipient)
                 }
-                Ok(envelope) => self.receive(now, envelope, out),
-                Err(fault) => self.count_rejected(fault),
+                Ok(envelope) => self.receive(now, envelope, actions),
+                Err(error) => self.count_rejected(error),
             },
             Event::Peers(peers) => {
                 self.peers = peers.into_iter().map(|peer| (peer.name.clone(), peer)).collect();
             }
-            Event::Persisted(durable) => self.write_finished(now, durable, out),
-            Event::Propose(command) => self.accept_proposal(now, command, out),
+            Event::Persisted(durable) => self.write_finished(now, durable, actions),
+            Event::Propose(command) => self.accept_proposal(now, command, actions),
         }
-        self.run_due(now, out);
+        self.run_due(now, actions);
     }
 
-    /// When it next wants a tick.
+    /// The latest time at which the next [`Event::Tick`] is needed.
     pub fn next_deadline(&self) -> Nanos {
         let is_voter =
             self.replica.is_some() && self.rejoin_confirmations.is_none() && self.disk_failed_since.is_none();
@@ -250,47 +266,47 @@
         self.proposals.values().map(|proposal| proposal.next_send).fold(due, Nanos::min)
     }
 
-    /// After so long others may have chosen another leader.
+    /// After a pause longer than this the other voters may have elected another leader.
     fn election_timeout(&self) -> Nanos {
         self.tuning.tick_interval * self.tuning.election_ticks as u64
     }
 
-    /// The node of a voter.
+    /// The name of a voter's node, if known.
     fn node_of(&self, voter: u64) -> Option<Name> {
         let known = self.applied.voters.get(&voter).map(|name| Name::from(name.as_str()));
         known.or_else(|| self.voter_nodes.get(&voter).cloned())
     }
 
-    fn count_rejected(&mut self, fault: wire::DatagramError) {
-        *self.rejected_datagrams.entry(fault).or_default() += 1;
+    fn count_rejected(&mut self, error: wire::DatagramError) {
+        *self.rejected_datagrams.entry(error).or_default() += 1;
     }
 
-    /// Datagrams without effect, by reason.
+    /// Number of rejected datagrams by reason.
     pub fn rejected_datagrams(&self) -> &BTreeMap<wire::DatagramError, u64> {
         &self.rejected_datagrams
     }
 
-    /// Bytes sent since the start.
+    /// Bytes of datagrams sent since the start.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// The state.
+    /// The applied state.
     pub fn state(&self) -> &AppliedState {
         &self.applied
     }
 
-    /// For tests of the comparison of copies.
+    /// Corrupts the applied state, for tests of the comparison of digests.
     pub fn corrupt_for_test(&mut self) {
         self.applied.corrupt_for_test();
     }
 
-    /// Which log this node holds.
+    /// The group that owns this node's log.
     pub fn group(&self) -> Group {
         Group { epoch: self.applied.epoch, number: self.applied.group }
     }
 
-    /// How the log stands here.
+    /// The local status of the log at time `now`.
     pub fn status(&self, now: Nanos) -> Status {
         Status {
             group: self.group(),
@@ -305,18 +321,18 @@
         }
     }
 
-    /// Everything about the replica in a line, for whoever looks for a fault.
+    /// One line that describes the node and its replica, for diagnostics.
     pub fn debug_summary(&self) -> String {
         let replica = self.replica.as_ref().map(Replica::debug_summary);
-        let (saving, frozen, hello) =
+        let (write, disk_failed, rejoin) =
             (self.write_in_progress, self.disk_failed_since, &self.rejoin_confirmations);
         format!(
-            "{} at {} of {}, {replica:?}, {saving:?}, frozen {frozen:?}, hello {hello:?}",
+            "voter {} at {} of {}, {replica:?}, write {write:?}, disk failed {disk_failed:?}, rejoin {rejoin:?}",
             self.voter, self.applied.index, self.latest_announced
         )
     }
 
-    /// The term in which this node leads.
+    /// The term in which this node is the leader, if it is.
     pub fn leading_term(&self) -> Option<u64> {
         self.replica
             .as_ref()
@@ -324,7 +340,8 @@
             .map(Replica::term)
     }
 
-    /// What this node's number has voted for, by term, where that is durable: nobody was told before.
+    /// This node's voter number, its term and its vote in that term. `None` unless the vote is durable; before that no
+    /// other node has learned of it.
     pub fn durable_vote(&self) -> Option<(u64, u64, u64)> {
         let replica = self
             .replica
@@ -334,7 +351,7 @@
         Some((replica.voter, term, vote)).filter(|_| vote != 0)
     }
 
-    fn send(&mut self, to: &Name, body: Body, out: &mut Vec<Action>) {
+    fn send(&mut self, to: &Name, body: Body, actions: &mut Vec<Action>) {
         let Some(address) = self.peers.get(to).map(|peer| peer.address) else { return };
         let envelope = Envelope {
             cluster: self.identity.cluster,
@@ -344,14 +361,14 @@
             index: self.applied.index,
             body,
         };
-        // One that is too long cannot be made from what is bounded; it would be lost like any other.
+        // All parts are bounded, so no datagram is too long. If one were, it would be treated like a lost datagram.
         if let Some(bytes) = encode(&envelope) {
             self.sent_bytes += bytes.len() as u64;
-            out.push(Action::Send { to: address, bytes });
+            actions.push(Action::Send { to: address, bytes });
         }
     }
 
-    fn receive(&mut self, now: Nanos, envelope: Envelope, out: &mut Vec<Action>) {
+    fn receive(&mut self, now: Nanos, envelope: Envelope, actions: &mut Vec<Action>) {
         let Envelope { from, group, index, body, .. } = envelope;
         if group == self.group() {
             self.last_received = now;
@@ -360,56 +377,56 @@
         let later = group != self.group()
             && replication::log_rank(group, index) > replication::log_rank(self.group(), self.applied.index);
         if later && now >= self.deadlines.later_log_pull && !self.is_bound_to_other_group(group) {
-            // A later log, whoever tells of it: the one that is held here decides nothing any more.
+            // The sender holds a later log, so the local one can decide nothing any more.
             self.deadlines.later_log_pull = now + self.tuning.pull_interval / 4;
-            self.pull_from(now, from.clone(), out);
+            self.pull_from(now, from.clone(), actions);
         }
         match body {
-            Body::Raft { starts, message } => self.receive_raft(now, &from, group, starts, *message, out),
-            Body::Hello { voter, starts } => self.receive_hello(&from, voter, starts, out),
-            Body::Seen { voter, starts, seen } => self.receive_seen(from, voter, starts, seen, out),
+            Body::Raft { starts, message } => self.receive_raft(now, &from, group, starts, *message, actions),
+            Body::Hello { voter, starts } => self.receive_hello(&from, voter, starts, actions),
+            Body::Seen { voter, starts, seen } => self.receive_seen(from, voter, starts, seen, actions),
             Body::Ask => {
-                let word = Body::Word { holds: self.may_hold_replica(), voter: self.announced_voter(now) };
-                self.send(&from, word, out);
+                let reply = Body::Word { holds: self.may_hold_replica(), voter: self.announced_voter(now) };
+                self.send(&from, reply, actions);
             }
             Body::Word { holds, voter } => {
                 self.candidate_reports
                     .insert(from, CandidateReport { received: now, holds_slot: holds, voter, group, index });
             }
-            Body::Propose { command, hops } => self.forward(&command, hops, out),
-            Body::Pull { digest } => self.receive_pull(now, from, group, index, digest, out),
-            Body::Entries(entries) => self.receive_entries(now, &from, group, entries, out),
+            Body::Propose { command, hops } => self.forward(&command, hops, actions),
+            Body::Pull { digest } => self.receive_pull(now, from, group, index, digest, actions),
+            Body::Entries(entries) => self.receive_entries(now, &from, group, entries, actions),
             Body::Whole { index, length, sum } => {
-                self.receive_state_offer(now, from, group, index, length, sum, out)
+                self.receive_state_offer(now, from, group, index, length, sum, actions)
             }
-            Body::Fetch { index, offset } => self.receive_fetch(&from, index, offset, out),
+            Body::Fetch { index, offset } => self.receive_fetch(&from, index, offset, actions),
             Body::Piece { index, offset, bytes } => {
-                self.receive_piece(now, &from, index, offset, &bytes, out)
+                self.receive_piece(now, &from, index, offset, &bytes, actions)
             }
-            Body::Differs { index, part } => self.receive_divergence(now, from, group, index, part, out),
+            Body::Differs { index, part } => self.receive_divergence(now, from, group, index, part, actions),
         }
     }
 
-    /// All that has come due.
-    fn run_due(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        self.retry_failed_write(now, out);
-        self.request_rejoin(now, out);
-        self.update_voter_slot(now, out);
-        self.tick_replica(now, out);
-        self.process_ready(now, out);
-        self.try_form_group(now, out);
-        self.release_slot_of_lost_group(now, out);
-        self.pull_if_due(now, out);
-        self.push_to_children(now, out);
-        self.resend_proposals(now, out);
+    /// Runs all tasks that are due.
+    fn run_due(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        self.retry_failed_write(now, actions);
+        self.request_rejoin(now, actions);
+        self.update_voter_slot(now, actions);
+        self.tick_replica(now);
+        self.process_ready(now, actions);
+        self.try_form_group(now, actions);
+        self.release_slot_of_lost_group(now, actions);
+        self.pull_if_due(now, actions);
+        self.push_to_children(now, actions);
+        self.resend_proposals(now, actions);
         if now >= self.deadlines.voter_check {
             self.deadlines.voter_check = now + self.tuning.pull_interval;
-            self.replace_voters(now, out);
+            self.replace_voters(now, actions);
         }
-        let leads = self.leading_term();
-        if leads != self.notified_leadership {
-            self.notified_leadership = leads;
-            out.push(Action::Notify(Notification::Leadership(leads)));
+        let leading_term = self.leading_term();
+        if leading_term != self.notified_leadership {
+            self.notified_leadership = leading_term;
+            actions.push(Action::Notify(Notification::Leadership(leading_term)));
         }
     }
 }
--- a/crates/replicated-log/src/machine/proposals.rs
+++ b/crates/replicated-log/src/machine/proposals.rs
@@ -1,25 +1,27 @@
-//! Commands that are proposed here, on their way to the leader until the state here has them.
+//! Commands proposed on this node, which are sent to the leader until the local state has applied them.
 
 use super::{Action, Notification, ReplicatedLog};
 use crate::command::{Command, CommandId, Outcome, ProposalError, MAX_BODY_BYTES};
 use crate::config::{Defect, Name, Nanos};
 use crate::wire::Body;
 
-/// Commands that wait here for an answer.
+/// Maximum number of commands that wait for an outcome on a node.
 pub const MAX_PROPOSALS: usize = 256;
 
+/// How often a command is forwarded at most.
 const MAX_HOPS: u8 = 2;
 
-/// One that waits.
+/// A command that waits for its outcome.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     command: Command,
     proposed: Nanos,
+    /// When the command is sent again.
     pub next_send: Nanos,
 }
 
 impl ReplicatedLog {
-    /// Whether a command could be proposed here now.
+    /// Checks whether a command can be proposed on this node now.
     pub fn check_proposal(&self, command: &Command) -> Result<(), ProposalError> {
         if command.body.len() > MAX_BODY_BYTES {
             return Err(ProposalError::TooLong(command.body.len()));
@@ -33,22 +35,24 @@
         Ok(())
     }
 
-    pub(super) fn accept_proposal(&mut self, now: Nanos, command: Command, out: &mut Vec<Action>) {
+    /// Accepts a command that was proposed on this node, or reports its outcome if it is already known.
+    pub(super) fn accept_proposal(&mut self, now: Nanos, command: Command, actions: &mut Vec<Action>) {
         let id = command.id;
         if self.check_proposal(&command).is_err() {
-            return out.push(Action::Notify(Notification::ProposalTimedOut(id)));
+            return actions.push(Action::Notify(Notification::ProposalTimedOut(id)));
         }
         if let Some(outcome) = self.applied.outcome(id).cloned() {
-            return out.push(Action::Notify(Notification::Outcome(id, outcome)));
+            return actions.push(Action::Notify(Notification::Outcome(id, outcome)));
         }
         if self.tuning.defect == Some(Defect::ConfirmsEarly) {
-            out.push(Action::Notify(Notification::Outcome(id, Outcome::Done(self.applied.index + 1))));
+            actions.push(Action::Notify(Notification::Outcome(id, Outcome::Done(self.applied.index + 1))));
         }
         self.proposals.entry(id).or_insert(Proposal { command, proposed: now, next_send: now });
     }
 
-    /// Sends what is not confirmed, again and again: its id lets it take effect once.
-    pub(super) fn resend_proposals(&mut self, now: Nanos, out: &mut Vec<Action>) {
+    /// Resends unconfirmed commands, which is safe because commands with the same id take effect once. Gives up those
+    /// that have reached [`crate::Tuning::proposal_timeout`].
+    pub(super) fn resend_proposals(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let due: Vec<CommandId> = self
             .proposals
             .iter()
@@ -59,19 +63,19 @@
             let Some(proposal) = self.proposals.get_mut(&id) else { continue };
             if now.saturating_sub(proposal.proposed) >= self.tuning.proposal_timeout {
                 self.proposals.remove(&id);
-                out.push(Action::Notify(Notification::ProposalTimedOut(id)));
+                actions.push(Action::Notify(Notification::ProposalTimedOut(id)));
                 continue;
             }
             proposal.next_send = now + self.tuning.resend_interval;
             let command = proposal.command.clone();
-            self.forward(&command, 0, out);
+            self.forward(&command, 0, actions);
         }
-        self.process_ready(now, out);
+        self.process_ready(now, actions);
     }
 
-    /// Takes a command to the leader: this node, or the one that is known, or a voter who may know. It is sent on so
-    /// often and no more, whatever nodes believe of each other.
-    pub(super) fn forward(&mut self, command: &Command, hops: u8, out: &mut Vec<Action>) {
+    /// Proposes a command if this node is the leader; otherwise forwards it to the known leader, or to a voter that may
+    /// know the leader. The limit on hops stops loops between nodes with contradictory views.
+    pub(super) fn forward(&mut self, command: &Command, hops: u8, actions: &mut Vec<Action>) {
         if self.rejoin_confirmations.is_some() || hops >= MAX_HOPS {
             return self.propose_locally(command);
         }
@@ -81,7 +85,7 @@
             (Some(leader), _) if leader == self.voter => return self.propose_locally(command),
             (Some(leader), _) => self.node_of(leader),
             (None, true) => None,
-            // Only who proposes it looks for a voter.
+            // Only the node that proposed the command picks a voter at random.
             (None, false) => {
                 let others: Vec<Name> =
                     self.other_voter_nodes().into_iter().filter(|name| *name != self.identity.name).collect();
@@ -89,11 +93,11 @@
             }
         };
         if let Some(to) = to {
-            self.send(&to, Body::Propose { command: command.clone(), hops: hops + 1 }, out);
+            self.send(&to, Body::Propose { command: command.clone(), hops: hops + 1 }, actions);
         }
     }
 
-    /// Proposes it if this node leads; one that there is no room for comes again.
+    /// Proposes a command if this node is the leader. If the leader cannot take it now, the proposer resends it.
     fn propose_locally(&mut self, command: &Command) {
         if self.rejoin_confirmations.is_none() && self.disk_failed_since.is_none() {
             if let Some(replica) = &mut self.replica {
@@ -102,9 +106,10 @@
         }
     }
 
-    pub(super) fn confirm(&mut self, id: CommandId, outcome: Outcome, out: &mut Vec<Action>) {
+    /// Reports the outcome of a command if it was proposed on this node.
+    pub(super) fn confirm(&mut self, id: CommandId, outcome: Outcome, actions: &mut Vec<Action>) {
         if self.proposals.remove(&id).is_some() {
-            out.push(Action::Notify(Notification::Outcome(id, outcome)));
+            actions.push(Action::Notify(Notification::Outcome(id, outcome)));
         }
     }
 }
--- a/crates/replicated-log/src/replica/mod.rs
+++ b/crates/replicated-log/src/replica/mod.rs
@@ -1,7 +1,7 @@
-//! A voter's replica of the log: the consensus, with what it stores and sends taken apart.
+//! A voter's replica of the log: wraps the consensus and returns its messages and disk writes to the caller.
 //!
-//! The crate `raft` panics where its own state contradicts itself, as after a disk that lied. What could bring that
-//! about from outside is checked before it is stepped.
+//! The crate `raft` panics if its own state is contradictory, for example after a disk lost a write that it had
+//! reported as durable. Messages that could cause this are rejected before the consensus sees them.
 
 mod store;
 
@@ -17,35 +17,38 @@
 use crate::wire::{RaftEntry, RaftMessage, MAX_ENTRIES_BYTES};
 pub use store::LogStorage;
 
-const MAX_INFLIGHT: usize = 32; // appends on the way to one voter
-const MAX_UNCOMMITTED: u64 = 256 << 10; // bytes of entries
-const MAX_WAITING: usize = 64; // messages that wait for the disk
+/// Unacknowledged append messages per voter.
+const MAX_INFLIGHT_APPENDS: usize = 32;
+/// Bytes of entries that a leader holds uncommitted.
+const MAX_UNCOMMITTED_BYTES: u64 = 256 << 10;
+/// Messages received during a disk write that are processed after it; further ones are dropped.
+const MAX_DEFERRED_MESSAGES: usize = 64;
 
-/// What has to be durable before anything that rests on it is sent.
+/// Changes that must be durable before messages that depend on them are sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableUpdate {
-    /// Term, vote, and how far all is agreed, if that has changed.
+    /// Term, vote and commit index, if they changed.
     pub hard_state: Option<(u64, u64, u64)>,
-    /// Entries, in place of any that stand at theirs or after.
+    /// New entries. They replace all stored entries from the first one's index on.
     pub entries: Vec<RaftEntry>,
 }
 
-/// What comes out of a replica.
+/// Output of a replica.
 #[derive(Default)]
 pub struct Output {
-    /// To other voters.
+    /// Messages to other voters.
     pub messages: Vec<RaftMessage>,
-    /// Agreed, in order.
+    /// Newly committed entries, in log order.
     pub committed: Vec<Entry>,
-    /// To be made durable; nothing more comes out until [`Replica::saved`].
+    /// Changes to be made durable. The replica returns nothing more until [`Replica::persisted`] is called.
     pub update: Option<DurableUpdate>,
 }
 
 /// A replica in a group.
 pub struct Replica {
-    /// Its number.
+    /// Its voter number.
     pub voter: u64,
-    /// It has voted or stored something: it may not leave its group any more.
+    /// Whether it has voted or stored entries in its group. If so, it must not leave the group.
     pub engaged: bool,
     raw_node: RawNode<LogStorage>,
     store: LogStorage,
@@ -55,27 +58,33 @@
     retained_entries: u64,
     pending_ready: Option<Ready>,
     deferred_messages: Vec<RaftMessage>,
-    /// A leader says that the replica is too far behind for entries.
-    pub needs_state: bool,
+    /// Whether the replica must pull entries or a whole state before the consensus can continue, because it is too
+    /// far behind the leader or its committed entries differ.
+    pub needs_catch_up: bool,
 }
 
 /// Why a replica cannot be started.
 #[derive(Debug, thiserror::Error)]
-#[error("the consensus does not start from what was kept: {0}; it is set aside and the node follows")]
+#[error(
+    "cannot start the consensus from the stored log: {0}; the node discards it and continues as a follower"
+)]
 pub struct ReplicaError(String);
 
 impl Replica {
-    /// A replica whose log begins after `state`, with `entries` behind it.
+    /// Starts a replica from a base state, its last term and vote, and the log entries that follow the state.
     pub fn new(
-        voter: u64, state: &AppliedState, hard: (u64, u64), entries: &[RaftEntry], tuning: &Tuning, seed: u64,
+        voter: u64, state: &AppliedState, (term, vote): (u64, u64), entries: &[RaftEntry], tuning: &Tuning,
+        seed: u64,
     ) -> Result<Self, ReplicaError> {
-        let store = LogStorage::with_base_state(state, hard.0, hard.1);
-        let kept: Option<Vec<_>> = entries.iter().map(RaftEntry::to_protobuf).collect();
-        let kept = kept.ok_or_else(|| ReplicaError("an entry of no kind".to_owned()))?;
-        let follow =
-            kept.windows(2).all(|pair| pair[1].index == pair[0].index + 1 && pair[1].term >= pair[0].term);
-        if !follow || !store.append(&kept) {
-            return Err(ReplicaError("its entries do not follow each other".to_owned()));
+        let store = LogStorage::with_base_state(state, term, vote);
+        let stored: Option<Vec<_>> = entries.iter().map(RaftEntry::to_protobuf).collect();
+        let stored = stored.ok_or_else(|| ReplicaError("an entry has an unknown kind".to_owned()))?;
+        let contiguous =
+            stored.windows(2).all(|pair| pair[1].index == pair[0].index + 1 && pair[1].term >= pair[0].term);
+        if !contiguous || !store.append(&stored) {
+            return Err(ReplicaError(
+                "the entries are not consecutive or do not follow the state".to_owned(),
+            ));
         }
         let config = Config {
             id: voter,
@@ -85,16 +94,16 @@
             max_election_tick: 2 * tuning.election_ticks,
             applied: state.index,
             max_size_per_msg: MAX_ENTRIES_BYTES as u64,
-            max_inflight_msgs: MAX_INFLIGHT,
-            // Without a majority nothing is agreed, and what is sent again and again must not pile up.
-            max_uncommitted_size: MAX_UNCOMMITTED,
+            max_inflight_msgs: MAX_INFLIGHT_APPENDS,
+            // Without a majority nothing is committed; the bound keeps resent commands from accumulating.
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
         let raw = RawNode::new(&config, store.clone(), &Logger::root(Discard, o!()));
         let raw = raw.map_err(|error| ReplicaError(error.to_string()))?;
-        let engaged = hard.1 != 0 || !kept.is_empty();
+        let engaged = vote != 0 || !stored.is_empty();
         let mut replica = Replica {
             voter,
             engaged,
@@ -106,69 +115,72 @@
             retained_entries: tuning.retained_entries,
             pending_ready: None,
             deferred_messages: Vec::new(),
-            needs_state: false,
+            needs_catch_up: false,
         };
         replica.reset_election_timeout();
         Ok(replica)
     }
 
-    /// Replaces the consensus' own draw of the election time, which no seed would give again. It depends on what the
-    /// consensus has come to and on nothing that it drew; it changes by and by, so that no two keep step for ever.
+    /// Replaces the election timeout that the consensus generates by itself, which no seed can reproduce. The new one
+    /// is derived from the seed, the term, the role and the tick count. It changes every 16 ticks, so that two
+    /// replicas cannot keep starting elections at the same time.
     fn reset_election_timeout(&mut self) {
-        let of = (self.raw_node.raft.term << 8) ^ ((self.ticks / 16) << 3) ^ self.raw_node.raft.state as u64;
-        let ticks = self.election_ticks + Rng::with_seed(self.seed ^ of).usize(0..self.election_ticks);
+        let state_hash =
+            (self.raw_node.raft.term << 8) ^ ((self.ticks / 16) << 3) ^ self.raw_node.raft.state as u64;
+        let ticks =
+            self.election_ticks + Rng::with_seed(self.seed ^ state_hash).usize(0..self.election_ticks);
         self.raw_node.raft.set_randomized_election_timeout(ticks);
     }
 
-    /// Whether it waits for the disk.
+    /// Whether a disk write is in progress.
     pub fn is_saving(&self) -> bool {
         self.pending_ready.is_some()
     }
 
-    /// Whether it leads.
+    /// Whether the replica is the leader of its term.
     pub fn is_leader(&self) -> bool {
         self.raw_node.raft.state == StateRole::Leader
     }
 
-    /// The number of the leader, if one is known.
+    /// Voter number of the leader, if one is known.
     pub fn leader(&self) -> Option<u64> {
         Some(self.raw_node.raft.leader_id).filter(|&leader| leader != 0)
     }
 
-    /// Term, vote.
+    /// The last stored term and vote.
     pub fn term_and_vote(&self) -> (u64, u64) {
         let hard = self.store.hard_state();
         (hard.term, hard.vote)
     }
 
-    /// Everything about it in a line.
+    /// One line that describes the replica's state, for diagnostics.
     pub fn debug_summary(&self) -> String {
         let raft = &self.raw_node.raft;
         let (state, term, committed) = (raft.state, raft.term, raft.raft_log.committed);
-        let (behind, saving) = (self.needs_state, self.pending_ready.is_some());
+        let (behind, saving) = (self.needs_catch_up, self.pending_ready.is_some());
         let (waits, voters) = (self.deferred_messages.len(), raft.prs().conf().voters().ids().iter().count());
         format!(
-            "{state:?} in {term}, log to {}, agreed {committed}, behind {behind}, saving {saving}, {waits} wait, {voters} voters",
+            "{state:?} in term {term}, last index {}, committed {committed}, needs catch-up {behind}, saving {saving}, {waits} deferred messages, {voters} voters",
             self.last_index()
         )
     }
 
-    /// The term it is in.
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.raw_node.raft.term
     }
 
-    /// The term of what stands at a place of its log, or just before it.
+    /// The term of the log entry at `index`, or of the base state if the log begins right after `index`.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         self.store.term(index).ok()
     }
 
-    /// The last place of its log.
+    /// Index of the last log entry.
     pub fn last_index(&self) -> u64 {
         self.store.last_index().unwrap_or(0)
     }
 
-    /// A tick of the consensus' clock; none passes while it waits for the disk.
+    /// Advances the clock of the consensus by one tick. The clock stands still during a disk write.
     pub fn tick(&mut self) {
         if self.pending_ready.is_none() {
             self.raw_node.tick();
@@ -177,42 +189,41 @@
         }
     }
 
-    /// A message of another voter.
+    /// Processes a message of another voter, or defers it until the current disk write is durable.
     pub fn step(&mut self, message: RaftMessage) {
         if self.pending_ready.is_some() {
-            if self.deferred_messages.len() < MAX_WAITING {
+            if self.deferred_messages.len() < MAX_DEFERRED_MESSAGES {
                 self.deferred_messages.push(message);
             }
             return;
         }
-        // What comes from a term that is over tells nothing; the consensus answers it.
+        // A message of an earlier term must not trigger a catch-up; the consensus answers it.
         let current = message.term() >= self.raw_node.raft.term;
-        // A state that is in the log already is answered with how far that goes, or the leader would offer it for ever.
+        // A snapshot that the log already covers goes to the consensus, which answers with its commit index. Without
+        // that answer the leader would offer the snapshot forever.
         if message.is_snapshot() && message.snapshot_index() > self.raw_node.raft.raft_log.committed {
-            self.needs_state |= current;
+            self.needs_catch_up |= current;
             return;
         }
-        // What is agreed beyond this log can only be told by entries.
+        // Entries that are committed beyond the end of this log must be pulled: a heartbeat does not carry them.
         if current && message.is_heartbeat() && message.commit() > self.raw_node.raft.raft_log.last_index() {
-            self.needs_state = true;
+            self.needs_catch_up = true;
             return;
         }
         let Some(message) = message.to_protobuf() else { return };
         let log = &self.raw_node.raft.raft_log;
-        let agreed = message.entries.iter().filter(|entry| entry.index <= log.committed);
-        if agreed
-            .into_iter()
-            .any(|entry| log.term(entry.index).is_ok_and(|own| own != 0 && own != entry.term))
-        {
-            self.needs_state = true; // what is agreed differs, as after a disk that lied
+        let mut committed = message.entries.iter().filter(|entry| entry.index <= log.committed);
+        if committed.any(|entry| log.term(entry.index).is_ok_and(|own| own != 0 && own != entry.term)) {
+            // Committed entries differ, for example after a disk lost a write that it had reported as durable.
+            self.needs_catch_up = true;
             return;
         }
-        // Errors say that the message was for somebody else or came late; nothing follows.
+        // An error means that the message was late or for another voter, so it can be ignored.
         let _ = self.raw_node.step(message);
         self.reset_election_timeout();
     }
 
-    /// Takes a command to be agreed; false where it does not lead or cannot take more.
+    /// Appends a command to the leader's log. Returns false if the replica is not the leader or cannot take more.
     pub fn propose(&mut self, command: &Command) -> bool {
         if !self.is_leader() || self.pending_ready.is_some() {
             return false;
@@ -221,7 +232,7 @@
         self.raw_node.propose(Vec::new(), data).is_ok()
     }
 
-    /// Proposes that a voter comes in or goes.
+    /// Proposes to add this voter with its node's name, or to remove it if `name` is `None`.
     pub fn propose_voter(&mut self, voter: u64, name: Option<&str>) -> bool {
         if !self.is_leader() || self.pending_ready.is_some() || self.raw_node.raft.has_pending_conf() {
             return false;
@@ -234,34 +245,34 @@
         self.raw_node.propose_conf_change(Vec::new(), change).is_ok()
     }
 
-    /// What has come of all that since the last time.
+    /// Returns the messages, committed entries and disk writes that are ready; empty during a disk write.
     pub fn take_ready(&mut self) -> Output {
-        let mut out = Output::default();
+        let mut output = Output::default();
         if self.pending_ready.is_some() || !self.raw_node.has_ready() {
-            return out;
+            return output;
         }
         let mut ready = self.raw_node.ready();
-        out.messages.extend(ready.take_messages().iter().map(RaftMessage::from));
-        self.report_snapshots(&out.messages);
+        output.messages.extend(ready.take_messages().iter().map(RaftMessage::from));
+        self.report_snapshots(&output.messages);
         for entry in ready.take_committed_entries() {
-            self.convert_committed(&entry, &mut out.committed);
+            self.convert_committed(&entry, &mut output.committed);
         }
         let hard = ready.hs().map(|hard: &HardState| (hard.term, hard.vote, hard.commit));
         let entries: Vec<RaftEntry> = ready.entries().iter().map(RaftEntry::from).collect();
         self.engaged |= hard.is_some_and(|(_, vote, _)| vote != 0) || !entries.is_empty();
         if !self.store.append(ready.entries()) {
-            self.needs_state = true; // cannot be: the consensus writes only what follows
+            self.needs_catch_up = true; // unreachable unless the consensus writes entries that leave a gap
         }
         if let Some(hard) = ready.hs() {
             self.store.set_hard_state(hard.clone());
         }
-        out.update = Some(DurableUpdate { hard_state: hard, entries });
+        output.update = Some(DurableUpdate { hard_state: hard, entries });
         self.pending_ready = Some(ready);
-        out
+        output
     }
 
-    /// A leader that was away for so long that others may have gone on without it leads no more: what it was told
-    /// before counts for nothing.
+    /// Gives up leadership. Called after a pause so long that the other voters may have elected another leader, which
+    /// makes earlier acknowledgements worthless.
     pub fn step_down(&mut self) {
         if self.is_leader() {
             let term = self.raw_node.raft.term;
@@ -270,40 +281,43 @@
         }
     }
 
-    /// All that was to be saved is durable.
+    /// Continues after the last [`DurableUpdate`] has become durable.
     pub fn persisted(&mut self) -> Output {
-        let mut out = Output::default();
-        let Some(mut ready) = self.pending_ready.take() else { return out };
-        out.messages.extend(ready.take_persisted_messages().iter().map(RaftMessage::from));
+        let mut output = Output::default();
+        let Some(mut ready) = self.pending_ready.take() else { return output };
+        output.messages.extend(ready.take_persisted_messages().iter().map(RaftMessage::from));
         let mut light = self.raw_node.advance(ready);
         if let Some(commit) = light.commit_index() {
             self.store.set_commit(commit);
         }
-        out.messages.extend(light.take_messages().iter().map(RaftMessage::from));
-        self.report_snapshots(&out.messages);
+        output.messages.extend(light.take_messages().iter().map(RaftMessage::from));
+        self.report_snapshots(&output.messages);
         for entry in light.take_committed_entries() {
-            self.convert_committed(&entry, &mut out.committed);
+            self.convert_committed(&entry, &mut output.committed);
         }
         self.raw_node.advance_apply();
         for message in std::mem::take(&mut self.deferred_messages) {
             self.step(message);
         }
-        out
+        output
     }
 
-    /// A voter that is too far behind fetches the state by itself: the leader goes on trying with entries.
+    /// Reports snapshots to the consensus as failed, so that the leader keeps trying with entries. A voter that is
+    /// too far behind for entries fetches the state itself.
     fn report_snapshots(&mut self, messages: &[RaftMessage]) {
         for message in messages.iter().filter(|message| message.is_snapshot()) {
             self.raw_node.report_snapshot(message.recipient(), raft::SnapshotStatus::Failure);
         }
     }
 
-    fn convert_committed(&mut self, entry: &raft::eraftpb::Entry, agreed: &mut Vec<Entry>) {
+    /// Converts a committed entry and applies a change of voters to the consensus.
+    fn convert_committed(&mut self, entry: &raft::eraftpb::Entry, committed: &mut Vec<Entry>) {
         let what = match entry.get_entry_type() {
             EntryType::EntryNormal if entry.data.is_empty() => EntryPayload::Nothing,
             EntryType::EntryNormal => match postcard::from_bytes(&entry.data) {
                 Ok(command) => EntryPayload::Command(command),
-                Err(_) => EntryPayload::Nothing, // of a version that writes another form; the leader checks its own
+                // The entry was written by a version with another encoding. A leader can decode what it proposed itself.
+                Err(_) => EntryPayload::Nothing,
             },
             _ => {
                 let mut change = ConfChange::default();
@@ -324,10 +338,11 @@
                 }
             }
         };
-        agreed.push(Entry { index: entry.index, term: entry.term, what });
+        committed.push(Entry { index: entry.index, term: entry.term, what });
     }
 
-    /// Forgets entries that all but the slowest have, up to what has been applied.
+    /// Discards applied entries except the last [`Tuning::retained_entries`], which all but the slowest nodes have
+    /// too. Returns whether it discarded any.
     pub fn compact(&mut self, applied: u64) -> bool {
         let first = self.store.first_index().unwrap_or(0);
         if applied < first + 2 * self.retained_entries || self.pending_ready.is_some() {
@@ -337,7 +352,7 @@
         true
     }
 
-    /// All entries that it keeps.
+    /// All entries in the log.
     pub fn entries(&self) -> Vec<RaftEntry> {
         let (first, last) = (self.store.first_index().unwrap_or(1), self.last_index());
         if first > last {
--- a/crates/replicated-log/src/replica/store.rs
+++ b/crates/replicated-log/src/replica/store.rs
@@ -1,4 +1,4 @@
-//! What the consensus reads of its own log: entries in memory above a state that stands for all before.
+//! The log storage that the consensus reads: entries in memory after a base state that replaces all earlier entries.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
@@ -6,12 +6,12 @@
 
 use crate::applied::AppliedState;
 
-/// The log of a replica. Clones share it.
+/// The log of a replica. Clones share the same log.
 #[derive(Clone)]
 pub struct LogStorage(MemStorage);
 
 impl LogStorage {
-    /// A log that begins after this state, as a voter with this term and vote has it.
+    /// A log that begins after `state`, of a voter with this term and vote.
     pub fn with_base_state(state: &AppliedState, term: u64, vote: u64) -> Self {
         let store = MemStorage::new();
         let mut base = Snapshot::default();
@@ -20,7 +20,7 @@
         meta.set_conf_state(conf_state(state));
         {
             let mut core = store.wl();
-            // Only fails for what is older than the empty log.
+            // This fails only for a snapshot older than the log, and the log is empty.
             let _ = core.apply_snapshot(base);
             let hard = core.mut_hard_state();
             (hard.term, hard.vote, hard.commit) = (term.max(state.term), vote, state.index);
@@ -28,7 +28,7 @@
         LogStorage(store)
     }
 
-    /// Adds entries, in place of any that stand at theirs; false if they do not follow what is there.
+    /// Appends entries and overwrites existing ones from the first index on. Returns false if they would leave a gap.
     pub fn append(&self, entries: &[Entry]) -> bool {
         let Some(first) = entries.first() else { return true };
         let (from, to) = (self.0.first_index(), self.0.last_index());
@@ -37,34 +37,34 @@
         follows && self.0.wl().append(entries).is_ok()
     }
 
-    /// Keeps term, vote and how far all is agreed.
+    /// Sets term, vote and commit index.
     pub fn set_hard_state(&self, hard: HardState) {
         self.0.wl().set_hardstate(hard);
     }
 
-    /// Keeps how far all is agreed.
+    /// Sets the commit index.
     pub fn set_commit(&self, index: u64) {
         self.0.wl().mut_hard_state().commit = index;
     }
 
-    /// Who votes.
+    /// Sets the voters.
     pub fn set_conf_state(&self, conf: ConfState) {
         self.0.wl().set_conf_state(conf);
     }
 
-    /// Forgets entries before this place.
+    /// Discards entries before `index`.
     pub fn compact(&self, index: u64) {
-        // Fails only for what is beyond the log, which is never asked.
+        // This fails only for an index beyond the log, which callers never pass.
         let _ = self.0.wl().compact(index);
     }
 
-    /// Term, vote and how far all is agreed.
+    /// Term, vote and commit index.
     pub fn hard_state(&self) -> HardState {
         self.0.initial_state().map(|state| state.hard_state).unwrap_or_default()
     }
 }
 
-/// Who votes by this state.
+/// The voters that this state lists.
 pub fn conf_state(state: &AppliedState) -> ConfState {
     ConfState { voters: state.voters.keys().copied().collect(), ..ConfState::default() }
 }
--- a/crates/replicated-log/src/wire.rs
+++ b/crates/replicated-log/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams of the log: two bytes of mark, one of version, a CRC-32C over the rest, and an [`Envelope`] in postcard's
-//! form.
+//! Datagrams of the log: two magic bytes, one byte of format version, a CRC-32C of the rest, and an [`Envelope`]
+//! encoded by postcard.
 
 use raft::eraftpb;
 use serde::{Deserialize, Serialize};
@@ -9,127 +9,127 @@
 use crate::command::{Command, Entry};
 use crate::config::Name;
 
-/// Bytes of a datagram at most: fits any path without fragments.
+/// Maximum size of a datagram in bytes; it passes any network path without fragmentation.
 pub const MAX_DATAGRAM: usize = 1_200;
-/// Version of the form.
+/// Version of the datagram format.
 pub const VERSION: u8 = 1;
-/// Bytes of a state that one datagram carries.
+/// Bytes of an encoded state that one datagram carries.
 pub const PIECE_BYTES: usize = 900;
-/// Bytes of entries that one datagram carries.
+/// Maximum bytes of encoded entries that one datagram carries.
 pub const MAX_ENTRIES_BYTES: usize = 900;
 const MAGIC: [u8; 2] = *b"ma";
 const HEADER_BYTES: usize = 7;
 
-/// Which log: its epoch, and the number drawn when its group was founded. A later one is greater.
+/// Identifies a log by the group of voters that owns it. A later log compares greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Group {
-    /// Counted from the first group.
+    /// Epoch of the group; the first group has epoch 1.
     pub epoch: u64,
-    /// Drawn.
+    /// Random number, generated when the group was formed.
     pub number: u64,
 }
 
-/// What every datagram begins with.
+/// The addressing and the body of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Which fleet.
+    /// Number of the fleet.
     pub cluster: u64,
-    /// Who sends.
+    /// Name of the sender.
     pub from: Name,
-    /// For whom it is: an address may be another's by now.
+    /// Name of the receiver; its address may belong to another node by now.
     pub to: Name,
-    /// The sender's log, and what it has applied of it.
+    /// The sender's log.
     pub group: Group,
-    /// The last entry that the sender has applied.
+    /// Index of the last entry that the sender has applied.
     pub index: u64,
-    /// What it is about.
+    /// The message.
     pub body: Body,
 }
 
-/// What a datagram is about.
+/// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Between voters.
+    /// A message of the consensus between voters.
     Raft {
-        /// How often the sender's disk says that it has started.
+        /// How often the sender has started with its replica, as stored on its disk.
         starts: u64,
-        /// What the consensus says.
+        /// The message.
         message: Box<RaftMessage>,
     },
-    /// A voter that has started again: does anybody know a later start of its number?
+    /// A restarted voter asks whether the receiver knows a later start of its voter number.
     Hello {
-        /// Its number.
+        /// The voter number.
         voter: u64,
-        /// How often its disk says that it has started.
+        /// How often the voter has started, as stored on its disk.
         starts: u64,
     },
-    /// What is known of that number.
+    /// The answer to [`Body::Hello`].
     Seen {
-        /// The number.
+        /// The voter number.
         voter: u64,
-        /// The start that was asked about.
+        /// The start count that the question named.
         starts: u64,
-        /// The last start that was heard of.
+        /// The highest start count that the sender has seen for this voter.
         seen: u64,
     },
-    /// Do you hold a voter slot in a group?
+    /// Asks whether the receiver holds a voter slot.
     Ask,
-    /// Whether the sender does.
+    /// The answer to [`Body::Ask`].
     Word {
-        /// It does.
+        /// Whether the sender holds a voter slot, or its disk may still hold one.
         holds: bool,
-        /// The number by which it would vote.
+        /// The number by which the sender votes or would vote; 0 if nobody may rely on it.
         voter: u64,
     },
-    /// Take this command.
+    /// Forwards a command towards the leader.
     Propose {
-        /// It.
+        /// The command.
         command: Command,
-        /// How often it was sent on: once by whoever it was proposed at, once more by a voter that does not lead.
+        /// How often it was forwarded: once by the node that proposed it, once more by a voter that does not lead.
         hops: u8,
     },
-    /// What came after that?
+    /// Asks for the entries after the sender's index.
     Pull {
-        /// The last digest here.
+        /// The last digest of the sender's state.
         digest: Option<(u64, [u32; STATE_PARTS.len()])>,
     },
-    /// What came after it.
+    /// The entries that follow the index of a pull.
     Entries(Vec<Entry>),
-    /// What came after it is kept no more: this whole state can be fetched.
+    /// The entries that follow the index of a pull are no longer retained; this whole state can be fetched instead.
     Whole {
-        /// Its last entry.
+        /// Index of the last entry in the state.
         index: u64,
-        /// Its length in bytes.
+        /// Length of the encoded state in bytes.
         length: u32,
-        /// Its checksum.
+        /// CRC-32C of the encoded state.
         sum: u32,
     },
-    /// A part of that state, please.
+    /// Asks for a piece of an offered state.
     Fetch {
-        /// Its last entry.
+        /// Index of the last entry in the state.
         index: u64,
-        /// From this byte on.
+        /// Offset of the piece in bytes.
         offset: u32,
     },
-    /// The part.
+    /// A piece of an offered state.
     Piece {
-        /// The state's last entry.
+        /// Index of the last entry in the state.
         index: u64,
-        /// From this byte on.
+        /// Offset of the piece in bytes.
         offset: u32,
-        /// The bytes.
+        /// The bytes of the piece.
         bytes: Vec<u8>,
     },
-    /// Your copy differs from mine in this part: fetch it anew.
+    /// The receiver's state differs from the sender's and must be fetched again.
     Differs {
-        /// As of this entry.
+        /// Index of the digests that differ.
         index: u64,
-        /// Which part.
+        /// Name of the first part that differs, one of [`STATE_PARTS`].
         part: String,
     },
 }
 
-/// A message between voters: what [`eraftpb::Message`] says, without the content of a snapshot.
+/// A message between voters: the fields of [`eraftpb::Message`] without the content of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RaftMessage {
     kind: u8,
@@ -149,13 +149,13 @@
     priority: i64,
 }
 
-/// An entry as voters keep it.
+/// An entry as voters store it, which may not be committed yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RaftEntry {
     kind: u8,
     /// Its term.
     pub term: u64,
-    /// Its place.
+    /// Its index in the log.
     pub index: u64,
     data: Vec<u8>,
     context: Vec<u8>,
@@ -174,7 +174,7 @@
 }
 
 impl RaftEntry {
-    /// The same for the consensus; none if its kind is none.
+    /// Converts the entry to the type of the crate `raft`; `None` if its kind is unknown.
     pub fn to_protobuf(&self) -> Option<eraftpb::Entry> {
         use eraftpb::EntryType::{EntryConfChange, EntryNormal};
         let mut entry = eraftpb::Entry::default();
@@ -186,42 +186,42 @@
 }
 
 impl RaftMessage {
-    /// Which voter it is for.
+    /// Number of the voter that receives the message.
     pub fn recipient(&self) -> u64 {
         self.to
     }
 
-    /// Which voter sends it.
+    /// Number of the voter that sends the message.
     pub fn sender(&self) -> u64 {
         self.from
     }
 
-    /// The term it belongs to.
+    /// Term of the message.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Up to where the sender says that all is agreed.
+    /// The sender's commit index.
     pub fn commit(&self) -> u64 {
         self.commit
     }
 
-    /// Whether it says that the receiver is too far behind for entries.
+    /// Whether the message announces a snapshot because the receiver is too far behind for entries.
     pub fn is_snapshot(&self) -> bool {
         self.kind == eraftpb::MessageType::MsgSnapshot as u8
     }
 
-    /// The last entry in the state that the sender would send, where it says that the receiver is too far behind.
+    /// Index of the last entry in the announced snapshot; 0 in other messages.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.0
     }
 
-    /// Whether it is a heartbeat, which states how far all is agreed without the entries.
+    /// Whether the message is a heartbeat, which carries the commit index without entries.
     pub fn is_heartbeat(&self) -> bool {
         self.kind == eraftpb::MessageType::MsgHeartbeat as u8
     }
 
-    /// The same for the consensus; none if it is of a kind that does not travel.
+    /// Converts the message to the type of the crate `raft`; `None` if its kind is never sent between nodes.
     pub fn to_protobuf(&self) -> Option<eraftpb::Message> {
         use eraftpb::MessageType::*;
         let kinds = [
@@ -280,30 +280,31 @@
     }
 }
 
-/// Why a datagram has no effect. Each is counted; none needs anybody unless it keeps rising.
+/// Why a datagram was rejected. Each reason is counted; a count needs attention only if it keeps rising.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum DatagramError {
-    /// Cut short, or not of this form at all.
-    #[error("cut short or of another form: see what else sends to this port")]
+    /// The datagram is truncated or not in this format.
+    #[error("datagram is truncated or malformed; check what else sends to this port")]
     Malformed,
-    /// Longer than any.
-    #[error("longer than any that this program sends: see what else sends to this port")]
+    /// The datagram is longer than [`MAX_DATAGRAM`].
+    #[error("datagram exceeds {MAX_DATAGRAM} bytes; check what else sends to this port")]
     TooLong,
-    /// Damaged.
-    #[error("its checksum does not fit: see the network")]
+    /// The checksum does not match.
+    #[error("datagram checksum does not match; check the network")]
     Checksum,
-    /// Of another version.
-    #[error("of another version of the form: finish the upgrade")]
+    /// The datagram has another format version.
+    #[error("datagram has another format version; finish the upgrade")]
     UnsupportedVersion,
-    /// Of another fleet.
-    #[error("of another fleet: see `cluster` at both ends")]
+    /// The datagram comes from another fleet.
+    #[error("datagram is from another fleet; check `cluster` at both ends")]
     WrongCluster,
-    /// For somebody else.
-    #[error("for another node: the address was another's")]
+    /// The datagram is addressed to another node.
+    #[error("datagram is addressed to another node; the address belonged to that node before")]
     WrongRecipient,
 }
 
-/// A datagram; none where it would be too long, which bounds on all that goes into one rule out.
+/// Encodes a datagram; `None` if it would exceed [`MAX_DATAGRAM`], which the bounds on all parts of a message rule
+/// out.
 pub fn encode(envelope: &Envelope) -> Option<Vec<u8>> {
     let body = postcard::to_stdvec(envelope).ok()?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -314,7 +315,7 @@
     Some(bytes).filter(|bytes| bytes.len() <= MAX_DATAGRAM)
 }
 
-/// What a datagram says.
+/// Decodes a datagram.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, DatagramError> {
     if bytes.len() > MAX_DATAGRAM {
         return Err(DatagramError::TooLong);
