--- a/crates/decide/tests/failures.rs
+++ b/crates/decide/tests/failures.rs
@@ -186,7 +186,16 @@
     let mut ask = |repeat| {
         let (class, tenant, key, budget, cost_hint) = (0, None, None, 300 * MS, None);
         let id = RequestId(90_000 + u64::from(repeat));
-node . handle ( Event::Request ( Request { id , class , tenant , key , client_timeout : budget , cost_hint , is_retry : repeat , streams_body : false } ) )
+        node.handle(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            key,
+            client_timeout: budget,
+            cost_hint,
+            is_retry: repeat,
+            streams_body: false,
+        }))
     };
     assert!(is_refused(&ask(true)), "700 of 1,000 ms have passed and the aim is 400 ms");
     assert!(sent_to(&ask(false)).is_some(), "a first try with the same budget is sent");
@@ -330,7 +339,10 @@
     // refused.
     let mut node = trained_node(4);
     let since = node.now;
-    node.update_servers(ListKind::Partial, (4..16).map(|n| ServerEntry { started_at: since, ..entry(n) }).collect());
+    node.update_servers(
+        ListKind::Partial,
+        (4..16).map(|n| ServerEntry { started_at: since, ..entry(n) }).collect(),
+    );
     let mut cold = 0;
     for turn in 0..300 {
         node.advance(20 * MS);
@@ -537,8 +549,13 @@
             let Some(server) = sent_to(&actions) else { break };
             let full = server.0 < 3 && turn % 4 == 0;
             let latency = (4 << (turn % 5)) * MS;
-            actions =
-                node.end_attempt(id, attempt, server, if full { Status::Rejected } else { Status::Ok }, latency);
+            actions = node.end_attempt(
+                id,
+                attempt,
+                server,
+                if full { Status::Rejected } else { Status::Ok },
+                latency,
+            );
         }
     }
     assert!(refusals < 30, "{refusals} of 300 refused");
@@ -582,7 +599,10 @@
 fn servers_that_have_all_just_started_are_used() {
     let mut node = TestNode::new(settings(vec![class(Idempotency::Idempotent)]), 0, 11);
     let since = node.now;
-    node.update_servers(ListKind::Complete, (0..6).map(|n| ServerEntry { started_at: since, ..entry(n) }).collect());
+    node.update_servers(
+        ListKind::Complete,
+        (0..6).map(|n| ServerEntry { started_at: since, ..entry(n) }).collect(),
+    );
     let served = (0..100).filter(|_| {
         node.advance(50 * MS);
         node.serve(0, |_| 40 * MS).is_some()
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -114,8 +114,11 @@
 
 /// Runs a workload and returns the counts of each whole second.
 fn simulate(workload: &Workload) -> Vec<SecondCounts> {
-    let class =
-        Class { target_latency: workload.aim, deadline: workload.aim * 5 / 2, ..class(Idempotency::Idempotent) };
+    let class = Class {
+        target_latency: workload.aim,
+        deadline: workload.aim * 5 / 2,
+        ..class(Idempotency::Idempotent)
+    };
     let deadline = class.deadline;
     let mut balancer = Balancer::new(settings(vec![class]), workload.seed);
     let mut rng = fastrand::Rng::with_seed(workload.seed);
@@ -447,8 +450,11 @@
 fn a_request_with_a_short_aim_waits_for_a_busy_server() {
     // A safety margin of two timer ticks, 100 ms, exceeded such an aim, so that a request that found no free server
     // was refused at once.
-    let mut node =
-        TestNode::new(settings(vec![Class { target_latency: 60 * MS, ..class(Idempotency::Idempotent) }]), 1, 3);
+    let mut node = TestNode::new(
+        settings(vec![Class { target_latency: 60 * MS, ..class(Idempotency::Idempotent) }]),
+        1,
+        3,
+    );
     let mut last = None;
     for _ in 0..40 {
         // Two requests arrive together, and the server of one slot takes twice as long for the second.
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -156,7 +156,9 @@
             _ => None,
         })
     };
-let mut node = TestNode::new ( settings ( vec ! [ class ( keyed ( DedupScope::All ) ) , class ( Idempotency::Idempotent ) ] ) , 6 , 3 ) ; let ( id , first ) = node . request ( 0 , S ) ;
+    let mut node =
+        TestNode::new(settings(vec![class(keyed(DedupScope::All)), class(Idempotency::Idempotent)]), 6, 3);
+    let (id, first) = node.request(0, S);
     assert_eq!(within(&first), Some(None), "a first attempt may go whenever it can");
     node.now += 100 * MS;
     let again = node.end_attempt(id, 0, sent_to(&first).unwrap(), Status::ConnectFailed, 100 * MS);
@@ -443,8 +445,10 @@
 #[test]
 fn a_bound_class_whose_servers_are_all_away_waits_or_ends_in_time() {
     for kinds in [vec![1], vec![7], vec![]] {
-        let set =
-            settings(vec![placed_class(Idempotency::Idempotent, None, Some(kinds)), class(Idempotency::Idempotent)]);
+        let set = settings(vec![
+            placed_class(Idempotency::Idempotent, None, Some(kinds)),
+            class(Idempotency::Idempotent),
+        ]);
         let mut node = TestNode::new(set, 6, 5);
         let away = (0..6).filter(|n| n % 2 == 1);
         let away = away.map(|n| ServerEntry { readiness: Readiness::Draining, ..entry(n) }).collect();
