--- a/crates/decide/tests/failures.rs
+++ b/crates/decide/tests/failures.rs
@@ -5,7 +5,7 @@
 
 use merlinfold_decide::interface::*;
 
-/// A node of class 0 that has served 200 requests, each in 10 ms.
+/// A node with one safe class that has served 200 requests, each in 10 ms.
 fn trained_node(servers: u32) -> TestNode {
     let mut node = TestNode::new(settings(vec![class(Effect::Safe)]), servers, 11);
     for _ in 0..200 {
@@ -54,8 +54,8 @@
 fn a_new_server_does_not_receive_the_next_request_of_every_node() {
     let mut at_new_server = 0;
     for me in 0..60 {
-        let set = Settings { me, nodes: 60, ..settings(vec![class(Effect::Safe)]) };
-        let mut node = TestNode::new(set, 5, u64::from(me));
+        let node_settings = Settings { me, nodes: 60, ..settings(vec![class(Effect::Safe)]) };
+        let mut node = TestNode::new(node_settings, 5, u64::from(me));
         for _ in 0..40 {
             node.advance(100 * MS);
             node.serve(0, |_| 10 * MS);
@@ -123,17 +123,17 @@
 #[test]
 fn a_node_refuses_most_requests_while_all_servers_are_full() {
     let mut node = trained_node(4);
-    let mut asked_late = 0;
-    let mut sent_late = 0;
+    let mut late_requests = 0;
+    let mut late_sent = 0;
     for turn in 0..100 {
         node.advance(100 * MS);
         let visited = serve_with_failures(&mut node, |_| true, Status::Full);
         if turn >= 50 {
-            asked_late += 1;
-            sent_late += usize::from(!visited.is_empty());
+            late_requests += 1;
+            late_sent += usize::from(!visited.is_empty());
         }
     }
-    assert!(sent_late * 2 < asked_late, "{sent_late} of {asked_late} still sent to full servers");
+    assert!(late_sent * 2 < late_requests, "{late_sent} of {late_requests} still sent to full servers");
 }
 
 #[test]
@@ -155,9 +155,9 @@
     // Requests that share a server take three times as long, so that the node learns a limit of one each.
     for _ in 0..120 {
         node.advance(100 * MS);
-        let out: Vec<_> = (0..4).map(|_| node.request(0, S)).collect();
+        let requests: Vec<_> = (0..4).map(|_| node.request(0, S)).collect();
         let mut used_servers = std::collections::BTreeSet::new();
-        for (id, actions) in out {
+        for (id, actions) in requests {
             let Some(server) = sent_to(&actions) else { continue };
             let latency = if used_servers.insert(server) { 10 * MS } else { 30 * MS };
             let mut ends = node.end_attempt(id, 0, server, Status::Ok, latency);
@@ -170,7 +170,7 @@
     }
     node.advance(S);
     let (first, actions) = node.request(0, S);
-    let server = sent_to(&actions).expect("free");
+    let server = sent_to(&actions).expect("a server is free");
     assert!(sent_to(&node.request(0, S).1).is_some(), "the other server is free");
     assert!(node.request(0, S).1.is_empty(), "queued: neither sent nor refused");
     let (wanted, actions) = node.request(1, S);
@@ -182,7 +182,7 @@
 #[test]
 fn a_marked_retry_whose_aim_has_passed_is_refused() {
     let mut node = trained_node(3);
-    let mut ask = |repeat| {
+    let mut request = |repeat| {
         let (class, tenant, key, budget, cost_hint) = (0, None, None, 300 * MS, None);
         let id = RequestId(90_000 + u64::from(repeat));
         node.handle(Event::Request(Request {
@@ -196,8 +196,8 @@
             long: false,
         }))
     };
-    assert!(is_refused(&ask(true)), "700 of 1,000 ms have passed and the aim is 400 ms");
-    assert!(sent_to(&ask(false)).is_some(), "a first try with the same budget is sent");
+    assert!(is_refused(&request(true)), "700 of 1,000 ms have passed and the aim is 400 ms");
+    assert!(sent_to(&request(false)).is_some(), "a first try with the same budget is sent");
 }
 
 /// Advances the clock and returns the messages to peers, with their recipients.
@@ -212,8 +212,10 @@
 #[test]
 fn a_node_learns_from_its_peers_which_servers_are_slow() {
     // Issue 6: at 7 requests a second over 114 servers a node uses each server only every 16 s.
-    let set = |me| Settings { me, nodes: 300, may_tell: true, ..settings(vec![class(Effect::Safe)]) };
-    let (mut sender, mut receiver) = (TestNode::new(set(0), 12, 1), TestNode::new(set(1), 12, 2));
+    let node_settings =
+        |me| Settings { me, nodes: 300, may_tell: true, ..settings(vec![class(Effect::Safe)]) };
+    let (mut sender, mut receiver) =
+        (TestNode::new(node_settings(0), 12, 1), TestNode::new(node_settings(1), 12, 2));
     let slow = |s: ServerId| if s.0 < 6 { 90 * MS } else { 10 * MS };
     let mut messages = vec![];
     for _ in 0..60 {
@@ -245,8 +247,8 @@
 
 #[test]
 fn one_of_many_nodes_prefers_the_faster_server_despite_its_low_request_rate() {
-    let set = Settings { nodes: 300, ..settings(vec![class(Effect::Safe)]) };
-    let mut node = TestNode::new(set, 2, 5);
+    let node_settings = Settings { nodes: 300, ..settings(vec![class(Effect::Safe)]) };
+    let mut node = TestNode::new(node_settings, 2, 5);
     let mut fast = 0;
     for turn in 0..600 {
         node.advance(200 * MS);
@@ -261,8 +263,8 @@
 
 #[test]
 fn requests_for_one_key_mostly_go_to_one_server_if_servers_cache_keys() {
-    let set = Settings { warm_keys: true, nodes: 20, ..settings(vec![class(Effect::Safe)]) };
-    let mut node = TestNode::new(set, 9, 5);
+    let node_settings = Settings { warm_keys: true, nodes: 20, ..settings(vec![class(Effect::Safe)]) };
+    let mut node = TestNode::new(node_settings, 9, 5);
     let mut counts = [0; 9];
     for n in 0..300 {
         node.advance(50 * MS);
@@ -292,14 +294,14 @@
     // Issue 6: initial phases that did not depend on the weight gave large servers nearly all first requests.
     let mut large = 0;
     for me in 0..100 {
-        let set = Settings {
+        let node_settings = Settings {
             me,
             nodes: 100,
             weighted: true,
             warm_keys: true,
             ..settings(vec![class(Effect::Safe)])
         };
-        let mut node = TestNode::new(set, 0, u64::from(me));
+        let mut node = TestNode::new(node_settings, 0, u64::from(me));
         let weighted = |n| ServerEntry { weight: if n < 20 { 1.5 } else { 0.5 }, ..entry(n) };
         node.update_servers(ListKind::Persisted, (0..40).map(weighted).collect());
         for turn in 0..20 {
@@ -415,16 +417,16 @@
 fn classes_without_placement_leave_capacity_to_classes_placed_on_a_few_servers() {
     // Incident i7f4639: 70% of the requests of a placed class were not answered because all classes filled its
     // servers.
-    let only = Placement { zones: None, kinds: Some(vec![1]) };
-    let bound = Class { placement: only, ..class(Effect::Safe) };
-    let mut node = TestNode::new(settings(vec![class(Effect::Safe), bound]), 12, 5);
+    let placement = Placement { zones: None, kinds: Some(vec![1]) };
+    let placed = Class { placement, ..class(Effect::Safe) };
+    let mut node = TestNode::new(settings(vec![class(Effect::Safe), placed]), 12, 5);
     let mut shared = 0;
     for turn in 0..400 {
         node.advance(20 * MS);
-        let at_kind_1 = |s: Option<ServerId>| s.is_some_and(|s| entry(s.0).kind == 1);
-        assert!(at_kind_1(node.serve(1, |_| 10 * MS)));
-        let free = node.serve(0, |_| 10 * MS);
-        shared += u32::from(turn >= 100 && at_kind_1(free));
+        let on_host_type_1 = |s: Option<ServerId>| s.is_some_and(|s| entry(s.0).kind == 1);
+        assert!(on_host_type_1(node.serve(1, |_| 10 * MS)));
+        let unplaced = node.serve(0, |_| 10 * MS);
+        shared += u32::from(turn >= 100 && on_host_type_1(unplaced));
     }
     assert!(
         shared < 30,
@@ -481,13 +483,15 @@
 fn an_overloaded_node_refuses_tenants_within_their_quota_less_than_one_beyond_it() {
     // Incident if84a4d: only 78% of the requests of a tenant within its quota were served, although servers were idle.
     let tenants = vec![Tenant { quota_per_s: 20.0 }; 4];
-    let set = Settings { tenants, over_share_worth: 0.05, nodes: 4, ..settings(vec![class(Effect::Safe)]) };
-    let mut node = TestNode::new(set, 6, 11);
+    let node_settings =
+        Settings { tenants, over_share_worth: 0.05, nodes: 4, ..settings(vec![class(Effect::Safe)]) };
+    let mut node = TestNode::new(node_settings, 6, 11);
     let mut refusals = [0u32; 4];
     let mut recent = std::collections::VecDeque::from([false; 20]);
     for turn in 0..3_000u64 {
         node.advance(10 * MS);
-        // The last tenant sends half of all requests, which is beyond its quota.
+        // This node gets several times an even part, 5/s, of each quota of 20/s: the first three tenants send 17
+        // requests a second, within their quotas, and the last sends 50.
         let tenant = [0, 3, 1, 3, 2, 3][turn as usize % 6];
         let id = RequestId(50_000 + turn);
         let (key, budget, cost_hint, repeat) = (None, S, None, false);
@@ -536,8 +540,8 @@
 /// Returns the attempts within 4 s at a server that has just started, beside five warm ones. This many requests
 /// arrive every 10 ms.
 fn attempts_at_cold_server(requests: usize) -> usize {
-    let set = Settings { nodes: 50, ..settings(vec![class(Effect::Safe)]) };
-    let mut node = TestNode::new(set, 6, 11);
+    let node_settings = Settings { nodes: 50, ..settings(vec![class(Effect::Safe)]) };
+    let mut node = TestNode::new(node_settings, 6, 11);
     let mut open = std::collections::VecDeque::<(RequestId, ServerId, Nanos)>::new();
     let mut cold = 0;
     for turn in 0..1200 {
--- a/crates/decide/tests/mechanism.rs
+++ b/crates/decide/tests/mechanism.rs
@@ -1,74 +1,75 @@
-//! The ordinary path: Koole's myopic assignment.
+//! Tests of the choice of servers without failures, which is Koole's myopic assignment policy (IEEE TAC 44, 1999).
 
 mod common;
 use common::*;
 
 use merlinfold_decide::interface::*;
 
-/// Sequence of servers once rates are known and steady: one request every `gap`.
+/// Returns the servers of the last `length` of 3,000 requests, one every `gap`, when the node has learned the servers'
+/// speeds.
 fn server_sequence(speeds: &[f64], gap: Nanos, length: usize) -> Vec<u32> {
     let mut node = TestNode::new(settings(vec![class(Effect::Safe)]), speeds.len() as u32, 5);
-    let mut turns = Vec::new();
+    let mut servers = Vec::new();
     for _ in 0..3_000 {
         node.advance(gap);
-        let served = node.serve(0, |s| (S as f64 / 100.0 / speeds[s.0 as usize]) as Nanos);
-        turns.push(served.expect("a server is ready").0);
+        let server = node.serve(0, |s| (S as f64 / 100.0 / speeds[s.0 as usize]) as Nanos);
+        servers.push(server.expect("a server is ready").0);
     }
-    turns.split_off(turns.len() - length)
+    servers.split_off(servers.len() - length)
 }
 
 #[test]
 fn equal_speeds_give_round_robin() {
-    let turns = server_sequence(&[1.0; 5], 20 * MS, 50);
-    for round in turns.windows(5) {
+    let servers = server_sequence(&[1.0; 5], 20 * MS, 50);
+    for round in servers.windows(5) {
         let mut seen = round.to_vec();
         seen.sort_unstable();
-        assert_eq!(seen, [0, 1, 2, 3, 4], "{turns:?}");
+        assert_eq!(seen, [0, 1, 2, 3, 4], "{servers:?}");
     }
 }
 
-/// The paper, section 4: for lambda 1 and mu 1 and 5 the myopic policy repeats 122.
+/// Section 4 of the paper: for lambda 1 and mu 1 and 5 the myopic policy repeats 122.
 #[test]
 fn two_servers_of_speeds_1_and_5_repeat_122() {
-    let turns = server_sequence(&[1.0, 5.0], 10 * MS, 30);
-    let start = turns.iter().position(|&s| s == 0).expect("the slow one gets its turns");
-    for (n, &server) in turns[start..].iter().enumerate() {
-        assert_eq!(server, u32::from(n % 3 != 0), "{turns:?}");
+    let servers = server_sequence(&[1.0, 5.0], 10 * MS, 30);
+    let start = servers.iter().position(|&s| s == 0).expect("the slow server gets requests");
+    for (n, &server) in servers[start..].iter().enumerate() {
+        assert_eq!(server, u32::from(n % 3 != 0), "{servers:?}");
     }
 }
 
-/// The paper, table 1: for lambda 1 and mu 1, 1 and 2 the myopic policy repeats 1323.
+/// Table 1 of the paper: for lambda 1 and mu 1, 1 and 2 the myopic policy repeats 1323.
 #[test]
 fn three_servers_of_speeds_1_1_and_2_repeat_1323() {
-    let turns = server_sequence(&[1.0, 1.0, 2.0], 10 * MS, 40);
-    for window in turns.windows(4) {
+    let servers = server_sequence(&[1.0, 1.0, 2.0], 10 * MS, 40);
+    for window in servers.windows(4) {
         let count = |s| window.iter().filter(|&&w| w == s).count();
-        assert_eq!((count(0), count(1), count(2)), (1, 1, 2), "{turns:?}");
+        assert_eq!((count(0), count(1), count(2)), (1, 1, 2), "{servers:?}");
     }
 }
 
 #[test]
-fn a_draining_server_leaves_the_rotation_at_once_and_turns_stay_even() {
+fn a_draining_server_gets_no_requests_and_the_others_equal_shares() {
     let mut node = TestNode::new(settings(vec![class(Effect::Safe)]), 4, 9);
     for _ in 0..40 {
         node.now += 20 * MS;
         node.serve(0, |_| 10 * MS);
     }
     node.update_servers(ListKind::Partial, vec![ServerEntry { readiness: Readiness::Draining, ..entry(2) }]);
-    let turns: Vec<u32> = (0..30)
+    let servers: Vec<u32> = (0..30)
         .map(|_| {
             node.now += 20 * MS;
-            node.serve(0, |_| 10 * MS).expect("three are left").0
+            node.serve(0, |_| 10 * MS).expect("three servers are left").0
         })
         .collect();
-    assert!(!turns.contains(&2));
+    assert!(!servers.contains(&2));
     for s in [0, 1, 3] {
-        assert_eq!(turns.iter().filter(|&&t| t == s).count(), 10, "{turns:?}");
+        assert_eq!(servers.iter().filter(|&&t| t == s).count(), 10, "{servers:?}");
     }
 }
 
 #[test]
-fn turns_are_even_again_after_a_server_joins() {
+fn shares_are_equal_again_after_a_server_joins() {
     let mut node = TestNode::new(settings(vec![class(Effect::Safe)]), 3, 9);
     for _ in 0..30 {
         node.advance(20 * MS);
@@ -88,9 +89,9 @@
 }
 
 #[test]
-fn a_single_server_and_a_single_attempt_are_enough() {
-    let set = Settings { max_attempts: 1, ..settings(vec![class(Effect::Safe)]) };
-    let mut node = TestNode::new(set, 1, 2);
+fn a_single_server_with_a_single_attempt_serves_requests() {
+    let node_settings = Settings { max_attempts: 1, ..settings(vec![class(Effect::Safe)]) };
+    let mut node = TestNode::new(node_settings, 1, 2);
     for _ in 0..20 {
         node.advance(20 * MS);
         assert_eq!(node.serve(0, |_| 10 * MS), Some(ServerId(0)));
--- a/crates/decide/tests/reconfigured.rs
+++ b/crates/decide/tests/reconfigured.rs
@@ -1,4 +1,4 @@
-//! Figures that change while a node runs.
+//! Tests of configuration changes while a node runs.
 
 mod common;
 use common::*;
@@ -9,6 +9,7 @@
     settings(vec![class(Effect::Safe), class(Effect::Safe)])
 }
 
+/// Applies a changed configuration, which may only cause timers.
 fn reconfigure(node: &mut TestNode, change: impl FnOnce(&mut Figures)) {
     let mut figures = two_classes().figures();
     change(&mut figures);
@@ -16,7 +17,7 @@
     assert!(actions.iter().all(|action| matches!(action, Action::Timer { .. })), "{actions:?}");
 }
 
-/// Servers that requests are sent to, some of which are slower than others.
+/// Serves requests and returns their servers, of which some are slower than others.
 fn servers_used(node: &mut TestNode, requests: usize) -> Vec<Option<u32>> {
     let serve = |_| {
         node.advance(20 * MS);
@@ -25,54 +26,54 @@
     (0..requests).map(serve).collect()
 }
 
-/// Guards what was learned: a node that takes other figures goes on as one that did not, where they do not matter.
+/// Guards learned state: after a change that does not affect its requests, a node acts like one without the change.
 #[test]
-fn what_was_learned_stays_when_figures_change() {
-    let mut one = TestNode::new(two_classes(), 6, 3);
-    let mut other = TestNode::new(two_classes(), 6, 3);
-    assert_eq!(servers_used(&mut one, 400), servers_used(&mut other, 400));
-    reconfigure(&mut other, |figures| {
+fn learned_state_survives_a_configuration_change() {
+    let mut unchanged = TestNode::new(two_classes(), 6, 3);
+    let mut changed = TestNode::new(two_classes(), 6, 3);
+    assert_eq!(servers_used(&mut unchanged, 400), servers_used(&mut changed, 400));
+    reconfigure(&mut changed, |figures| {
         figures.classes[1].worth = 7.0;
         figures.tenants.push(Tenant { quota_per_s: 3.0 });
     });
-    assert_eq!(servers_used(&mut one, 400), servers_used(&mut other, 400));
+    assert_eq!(servers_used(&mut unchanged, 400), servers_used(&mut changed, 400));
 }
 
-/// Guards "all of the old or all of the new": a request under way keeps the attempts that it came with.
+/// Guards against requests that mix two configurations: an open request keeps the attempt limit of its arrival.
 #[test]
-fn a_request_keeps_the_attempts_that_held_when_it_came() {
+fn a_request_keeps_the_attempt_limit_that_applied_at_its_arrival() {
     let mut node = TestNode::new(two_classes(), 6, 3);
     let (old, actions) = node.request(0, S);
     let first = sent_to(&actions).unwrap();
     reconfigure(&mut node, |figures| figures.max_attempts = 1);
     let second =
-        sent_to(&node.end_attempt(old, 0, first, Status::ConnectFailed, MS)).expect("it may have four");
+        sent_to(&node.end_attempt(old, 0, first, Status::ConnectFailed, MS)).expect("the limit is four");
     assert_ne!(first, second);
     let (new, actions) = node.request(0, S);
     let only = sent_to(&actions).unwrap();
     let actions = node.end_attempt(new, 0, only, Status::ConnectFailed, MS);
-    assert_eq!((sent_to(&actions), is_refused(&actions)), (None, true), "it may have one");
+    assert_eq!((sent_to(&actions), is_refused(&actions)), (None, true), "the limit is one");
 }
 
-/// The same of an answer after its aim, which is worth nothing under the old figures.
+/// Guards the same for the value of an answer after the aim, which is 0 in the old configuration.
 #[test]
-fn a_request_keeps_the_worth_of_a_late_answer_that_held_when_it_came() {
+fn a_request_keeps_the_value_of_late_answers_that_applied_at_its_arrival() {
     let mut node = TestNode::new(two_classes(), 6, 3);
-    servers_used(&mut node, 400); // what cannot be answered in time is told by what answers have taken
+    servers_used(&mut node, 400); // the node learns latencies, by which it predicts late answers
     let (old, actions) = node.request(0, S);
-    let old_at = sent_to(&actions).unwrap();
+    let old_server = sent_to(&actions).unwrap();
     reconfigure(&mut node, |figures| figures.classes[0].late_worth = 0.5);
     let (new, actions) = node.request(0, S);
-    let new_at = sent_to(&actions).unwrap();
+    let new_server = sent_to(&actions).unwrap();
     node.now += 399 * MS; // the aim is 400 ms
-    let mut goes_on =
+    let mut is_repeated =
         |id, server| sent_to(&node.end_attempt(id, 0, server, Status::ConnectFailed, 399 * MS)).is_some();
-    assert!(!goes_on(old, old_at), "late it is worth nothing");
-    assert!(goes_on(new, new_at), "late it is worth a half");
+    assert!(!is_repeated(old, old_server), "a late answer has no value");
+    assert!(is_repeated(new, new_server), "a late answer has half of the value");
 }
 
 #[test]
-fn a_tenant_that_is_added_has_its_quota_and_the_others_keep_their_numbers() {
+fn requests_of_added_tenants_are_sent() {
     let mut node = TestNode::new(two_classes(), 6, 3);
     reconfigure(&mut node, |figures| {
         figures.tenants.extend([10.0, f64::INFINITY].map(|quota_per_s| Tenant { quota_per_s }));
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The rules, by the module alone.
+//! Tests of the rules that the decision module has to follow: answers, repeats, placement, server states, cold
+//! servers and the attempt budget.
 
 mod common;
 use common::*;
@@ -6,6 +7,7 @@
 use merlinfold_decide::interface::*;
 use proptest::prelude::*;
 
+/// Time for which the servers of a group recognize a repeat.
 const WINDOW: Nanos = 300 * MS;
 
 fn keyed(group: Group) -> Effect {
@@ -17,7 +19,7 @@
 }
 
 #[test]
-fn no_server_left_is_answered_within_the_wait() {
+fn a_request_without_servers_is_refused_once_before_its_deadline() {
     let mut node = new_node(Effect::Safe, 0);
     let (_, mut actions) = node.request(0, S);
     actions.extend(node.advance(S));
@@ -25,7 +27,7 @@
 }
 
 #[test]
-fn zero_and_tiny_budgets_are_answered_at_once_or_sent() {
+fn requests_with_a_budget_of_0_or_1_ns_are_refused_or_sent_at_once() {
     let mut node = new_node(Effect::Safe, 3);
     let (_, actions) = node.request(0, 0);
     assert!(is_refused(&actions) && sent_to(&actions).is_none());
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn a_time_out_at_the_deadline_is_failed_or_refused_once() {
+fn a_timeout_at_the_deadline_fails_an_unsafe_request_once() {
     let mut node = new_node(Effect::Unsafe, 3);
     let (id, actions) = node.request(0, S);
     let server = sent_to(&actions).expect("sent");
@@ -44,7 +46,7 @@
 }
 
 #[test]
-fn an_unsafe_request_goes_out_again_only_after_proof_that_it_never_ran() {
+fn an_unsafe_request_is_repeated_only_after_a_status_that_proves_it_never_ran() {
     for (status, again) in [
         (Status::Full, true),
         (Status::ConnectFailed, true),
@@ -65,9 +67,9 @@
     }
 }
 
-/// The one table of what ends an attempt may have: whether it goes out again, and the answer where it may not.
+/// Checks for every effect and status of an attempt whether the request is repeated, refused or failed.
 #[test]
-fn every_end_of_an_attempt_lets_just_what_its_class_allows_follow() {
+fn each_status_leads_to_a_repeat_a_refusal_or_a_failure_as_its_class_allows() {
     let ends = [
         (Status::Full, false),
         (Status::ConnectFailed, false),
@@ -88,9 +90,9 @@
     for effect in effects {
         for (status, may_have_run) in ends {
             for (attempts, after) in [(4, MS), (4, 350 * MS), (1, MS)] {
-                // No server is alone in its cell or zone: where a repeat is allowed there is somewhere to go.
-                let set = Settings { max_attempts: attempts, ..settings(vec![class(effect)]) };
-                let mut node = TestNode::new(set, 24, 3);
+                // Each cell and zone has several servers, so that an allowed repeat always finds another one.
+                let node_settings = Settings { max_attempts: attempts, ..settings(vec![class(effect)]) };
+                let mut node = TestNode::new(node_settings, 24, 3);
                 let (id, actions) = node.request(0, S);
                 let server = sent_to(&actions).expect("sent");
                 node.now += after;
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_is_measured_from_the_first_attempt_that_might_have_run() {
+fn the_window_of_a_keyed_repeat_starts_at_the_first_attempt_that_may_have_run() {
     let mut node = new_node(keyed(Group::All), 9);
     let (id, actions) = node.request(0, S);
     let first = sent_to(&actions).expect("sent");
@@ -140,13 +142,13 @@
         sent_to(&node.end_attempt(id, 0, first, Status::Error, 200 * MS)).expect("within its window");
     node.now += 101 * MS;
     let end = node.end_attempt(id, 1, second, Status::Error, 101 * MS);
-    assert!(sent_to(&end).is_none(), "301 ms after the first: the window is over");
-    assert!(is_refused(&end), "where all servers share the keys a refusal is allowed");
+    assert!(sent_to(&end).is_none(), "301 ms after the first attempt the window is over");
+    assert!(is_refused(&end), "a refusal is allowed if all servers share the keys");
 }
 
-/// Guards the window where the host is late: its connection may come up after the window is over.
+/// Guards the window of keyed repeats if the host sends late, as its connection may be established after the window.
 #[test]
-fn a_keyed_repeat_says_how_soon_it_has_to_be_written() {
+fn a_keyed_repeat_carries_the_time_within_which_it_has_to_be_written() {
     let within = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
             Action::Send { within, .. } => Some(*within),
@@ -155,20 +157,20 @@
     };
     let mut node = TestNode::new(settings(vec![class(keyed(Group::All)), class(Effect::Safe)]), 6, 3);
     let (id, first) = node.request(0, S);
-    assert_eq!(within(&first), Some(None), "a first attempt may go whenever it can");
+    assert_eq!(within(&first), Some(None), "a first attempt has no time limit");
     node.now += 100 * MS;
     let again = node.end_attempt(id, 0, sent_to(&first).unwrap(), Status::ConnectFailed, 100 * MS);
     assert_eq!(within(&again), Some(None), "nothing has run yet");
     node.now += 100 * MS;
     let last = node.end_attempt(id, 1, sent_to(&again).unwrap(), Status::Reset, 100 * MS);
-    assert_eq!(within(&last), Some(Some(WINDOW - 100 * MS)), "counted from the one that may have run");
+    assert_eq!(within(&last), Some(Some(WINDOW - 100 * MS)), "counted from the attempt that may have run");
     let (id, first) = node.request(1, S);
     let again = node.end_attempt(id, 0, sent_to(&first).unwrap(), Status::Reset, 0);
-    assert_eq!(within(&again), Some(None), "a safe one is known for ever");
+    assert_eq!(within(&again), Some(None), "a safe request has no window");
 }
 
 #[test]
-fn a_keyed_request_of_a_zone_is_failed_not_refused_once_it_may_have_run() {
+fn a_request_keyed_by_zone_is_failed_and_not_refused_once_it_may_have_run() {
     let mut node = new_node(keyed(Group::Zone), 1);
     let (id, actions) = node.request(0, S);
     let server = sent_to(&actions).expect("sent");
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing_and_its_attempt_is_still_accounted_for() {
+fn a_request_whose_client_has_left_gets_no_answer_when_its_attempt_ends() {
     let mut node = new_node(Effect::Safe, 3);
     let (id, actions) = node.request(0, S);
     let server = sent_to(&actions).expect("sent");
@@ -196,7 +198,7 @@
 }
 
 #[test]
-fn a_begun_stream_gets_no_other_answer() {
+fn a_stream_that_has_started_gets_no_other_answer() {
     let mut node = new_node(Effect::Safe, 3);
     let (id, actions) = node.request(0, S);
     let server = sent_to(&actions).expect("sent");
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
+fn a_server_that_drains_or_is_gone_gets_no_attempts() {
     for readiness in [Readiness::Draining, Readiness::Gone] {
         let mut node = new_node(Effect::Safe, 2);
         node.update_servers(ListKind::Partial, vec![ServerEntry { readiness, ..entry(0) }]);
@@ -227,7 +229,7 @@
 }
 
 #[test]
-fn a_server_missing_from_a_full_list_is_gone() {
+fn a_server_missing_from_a_complete_list_gets_no_attempts() {
     let mut node = new_node(Effect::Safe, 3);
     node.update_servers(ListKind::Complete, vec![entry(1)]);
     for _ in 0..20 {
@@ -237,9 +239,9 @@
 }
 
 #[test]
-fn out_by_hand_lasts_whatever_the_list_says_until_one_call_back_and_the_return_is_cold() {
+fn maintenance_lasts_until_one_order_ends_it_whatever_the_list_says_and_the_server_returns_cold() {
     let mut node = new_node(Effect::Safe, 2);
-    let out = |node: &mut TestNode, out| {
+    let maintain = |node: &mut TestNode, out| {
         node.handle(Event::Maintenance { server: ServerId(0), out, since: node.now });
     };
     let only_the_other = |node: &mut TestNode, when: &str| {
@@ -248,30 +250,30 @@
             assert_eq!(node.serve(0, |_| 10 * MS), Some(ServerId(1)), "{when}");
         }
     };
-    out(&mut node, true);
-    out(&mut node, true);
-    only_the_other(&mut node, "out");
+    maintain(&mut node, true);
+    maintain(&mut node, true);
+    only_the_other(&mut node, "in maintenance");
     assert_eq!(node.balancer.avoided(node.now), 1);
     node.update_servers(ListKind::Partial, vec![ServerEntry { readiness: Readiness::Gone, ..entry(0) }]);
-    only_the_other(&mut node, "gone as well");
+    only_the_other(&mut node, "in maintenance and gone");
     node.update_servers(ListKind::Partial, vec![ServerEntry { since: node.now, ..entry(0) }]);
-    only_the_other(&mut node, "started anew");
+    only_the_other(&mut node, "in maintenance and restarted");
     node.update_servers(ListKind::Complete, vec![entry(0), entry(1)]);
-    only_the_other(&mut node, "in a whole list");
-    out(&mut node, false);
+    only_the_other(&mut node, "in maintenance and in a complete list");
+    maintain(&mut node, false);
     assert!(node.balancer.is_ready(ServerId(0)) && node.balancer.avoided(node.now) == 0);
-    node.update_servers(ListKind::Complete, vec![entry(0), entry(1)]); // which has it as started long ago
-    let mut back = 0;
+    node.update_servers(ListKind::Complete, vec![entry(0), entry(1)]); // without a recent start
+    let mut served = 0;
     for _ in 0..50 {
         node.now += 2 * MS;
-        back += usize::from(node.serve(0, |_| 10 * MS) == Some(ServerId(0)));
+        served += usize::from(node.serve(0, |_| 10 * MS) == Some(ServerId(0)));
     }
-    assert!((1..15).contains(&back), "{back} of the first 50 went to a server that is cold");
+    assert!((1..15).contains(&served), "{served} of the first 50 went to a cold server");
     assert!(!is_refused(&node.request(0, S).1));
 }
 
 #[test]
-fn with_all_servers_out_requests_are_refused_at_once_and_served_again_after_one_is_back() {
+fn requests_are_refused_while_all_servers_are_in_maintenance_and_not_after_one_returns() {
     let mut node = new_node(Effect::Safe, 2);
     let since = node.now;
     for n in 0..2 {
@@ -282,23 +284,23 @@
     assert!(!is_refused(&node.request(0, S).1));
 }
 
-/// Guards against refusals for uploads: while a body is still coming no server works on it.
+/// Guards against refusals caused by uploads: a server does not work on a request whose body is still arriving.
 #[test]
-fn long_requests_on_their_way_keep_no_server_busy_and_refuse_nobody() {
+fn uploads_do_not_occupy_servers_or_cause_refusals() {
     let mut node = new_node(Effect::Safe, 4);
     for _ in 0..50 {
         node.now += 20 * MS;
         node.serve(0, |_| 10 * MS);
     }
-    let mut coming = Vec::new();
+    let mut uploads = Vec::new();
     for _ in 0..100 {
         let (id, actions) = node.request_with_upload(0, S);
-        coming.push((id, sent_to(&actions).expect("sent at once")));
+        uploads.push((id, sent_to(&actions).expect("sent at once")));
         node.now += 5 * MS;
-        assert!(node.serve(0, |_| 10 * MS).is_some(), "after {} long ones", coming.len());
+        assert!(node.serve(0, |_| 10 * MS).is_some(), "refused during {} uploads", uploads.len());
     }
     node.advance(5 * S);
-    for (id, server) in coming {
+    for (id, server) in uploads {
         node.handle(Event::Uploaded(id));
         let latency = 10 * MS;
         node.now += latency;
@@ -307,9 +309,10 @@
     assert!(node.serve(0, |_| 10 * MS).is_some());
 }
 
-/// A long request that never reached its server may go out again, in the time that it has from its last byte on.
+/// Checks that a request with an upload may be repeated after a rejection although its upload took longer than its
+/// deadline.
 #[test]
-fn a_long_request_has_its_time_from_its_last_byte_on() {
+fn the_deadline_of_a_request_with_an_upload_starts_at_its_last_byte() {
     let mut node = TestNode::new(settings(vec![class(Effect::Unsafe)]), 3, 3);
     let (id, actions) = node.request_with_upload(0, S);
     let server = sent_to(&actions).expect("sent");
@@ -317,13 +320,13 @@
     node.handle(Event::Uploaded(id));
     node.now += 10 * MS;
     let again = node.end_attempt(id, 0, server, Status::Full, 10 * MS);
-    assert!(sent_to(&again).is_some(), "turned away unseen: another may take it");
+    assert!(sent_to(&again).is_some(), "rejected unread, so that another server may take it");
 }
 
 #[test]
-fn asking_for_the_list_goes_on_after_failures_and_stops_when_subscribed() {
-    let set = Settings { discovery: Discovery::Ask, ..settings(vec![class(Effect::Safe)]) };
-    let mut node = TestNode::new(set, 3, 8);
+fn the_node_asks_for_the_list_again_after_failures_until_it_is_subscribed() {
+    let node_settings = Settings { discovery: Discovery::Ask, ..settings(vec![class(Effect::Safe)]) };
+    let mut node = TestNode::new(node_settings, 3, 8);
     let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
     for _ in 0..6 {
         let mut asked = 0;
@@ -333,22 +336,23 @@
                 break;
             }
         }
-        assert_eq!(asked, 1, "asked again within the ten seconds allowed");
+        assert_eq!(asked, 1, "asked again once within ten seconds");
         node.update_servers(ListKind::Failed, vec![]);
     }
     node.advance(10 * S);
     node.update_servers(ListKind::Partial, vec![]);
-    assert_eq!(watches(&node.advance(60 * S)), 0, "subscribed: no further call");
+    assert_eq!(watches(&node.advance(60 * S)), 0, "a subscribed node does not ask again");
 }
 
-/// The budget of rule 4 over every window, all nodes together, at a fleet of four servers of `cores`
-/// of which `back` tells the restarted ones, asked for five sixths of what all can do when warm.
-fn check_cold_server_budget(nodes: u32, cores: u64, back: impl Fn(Nanos) -> Vec<ServerEntry>) {
+/// Checks in every window that the attempts of all nodes at a cold server stay within its budget. There are four
+/// servers with this number of cores, `restarted` lists those that restart at the given time, and the load is five
+/// sixths of what all servers can serve when warm.
+fn check_cold_server_budget(nodes: u32, cores: u64, restarted: impl Fn(Nanos) -> Vec<ServerEntry>) {
     let service = 20 * MS;
     let mut fleet: Vec<TestNode> = (0..nodes)
         .map(|me| {
-            let set = Settings { me, nodes, ..settings(vec![class(Effect::Safe)]) };
-            TestNode::new(set, 4, u64::from(me) + 1)
+            let node_settings = Settings { me, nodes, ..settings(vec![class(Effect::Safe)]) };
+            TestNode::new(node_settings, 4, u64::from(me) + 1)
         })
         .collect();
     let mut at = 100 * S;
@@ -362,7 +366,7 @@
     let start = at;
     for node in &mut fleet {
         node.now = at;
-        node.update_servers(ListKind::Partial, back(start));
+        node.update_servers(ListKind::Partial, restarted(start));
     }
     let mut cold: Vec<Nanos> = Vec::new();
     for turn in 0..8_000 {
@@ -376,24 +380,24 @@
             cold.push(at);
         }
     }
-    assert!(!cold.is_empty(), "a cold server is not starved");
+    assert!(!cold.is_empty(), "a cold server gets attempts");
     for (n, &from) in cold.iter().enumerate() {
         let sent = cold[n..].iter().take_while(|&&t| t < from + S).count() as f64;
         let share = 0.2 + 0.8 * (from - start) as f64 / (10 * S) as f64;
         let budget = 3.0 * share * (cores * S / service) as f64;
-        assert!(sent <= budget, "{sent} sends within a second of {from}, budget {budget}");
+        assert!(sent <= budget, "{sent} attempts within a second of {from}, budget {budget}");
     }
 }
 
 #[test]
-fn a_restart_under_the_same_id_is_not_pushed_over() {
+fn a_server_that_restarts_under_the_same_id_is_not_overloaded() {
     for (nodes, cores) in [(1, 1), (4, 1), (60, 1), (600, 1), (1, 6), (60, 6), (600, 6)] {
         check_cold_server_budget(nodes, cores, |since| vec![ServerEntry { since, ..entry(0) }]);
     }
 }
 
 #[test]
-fn a_returning_zone_is_not_pushed_over() {
+fn the_servers_of_a_returning_zone_are_not_overloaded() {
     for (nodes, cores) in [(1, 1), (4, 1), (60, 1), (600, 1), (1, 6), (60, 6), (600, 6)] {
         let zone = |since| (0..3).map(|n| ServerEntry { since, ..entry(n) }).collect();
         check_cold_server_budget(nodes, cores, zone);
@@ -405,14 +409,14 @@
 }
 
 #[test]
-fn a_bound_class_goes_only_to_its_places_at_every_attempt() {
+fn every_attempt_of_a_placed_class_goes_to_a_permitted_server() {
     for (zones, kinds) in [(Some(vec![1]), None), (None, Some(vec![1])), (Some(vec![0, 2]), Some(vec![0]))] {
-        let set = Settings {
+        let node_settings = Settings {
             warm_keys: true,
             zone: 2,
             ..settings(vec![placed_class(Effect::Safe, zones.clone(), kinds.clone())])
         };
-        let mut node = TestNode::new(set, 12, 5);
+        let mut node = TestNode::new(node_settings, 12, 5);
         let place = Placement { zones, kinds };
         let mut visited = std::collections::BTreeSet::new();
         for turn in 0..200u64 {
@@ -423,33 +427,34 @@
                 let at = entry(server.0);
                 assert!(place.allows(&at), "attempt {attempt} went to {server:?}");
                 visited.insert(server);
-                // All sorts of trouble, so that every fallback is taken.
+                // Different failures, so that every fallback is used.
                 let status =
                     [Status::Full, Status::Error, Status::Ok, Status::ConnectFailed][turn as usize % 4];
                 actions = node.end_attempt(id, attempt, server, status, 10 * MS);
             }
         }
-        let open = (0..12).map(entry).filter(|e| place.allows(e)).count();
-        assert_eq!(visited.len(), open, "all of its servers are used");
+        let permitted = (0..12).map(entry).filter(|e| place.allows(e)).count();
+        assert_eq!(visited.len(), permitted, "all permitted servers are used");
     }
 }
 
 #[test]
-fn a_bound_class_whose_servers_are_all_away_waits_or_ends_in_time() {
+fn a_placed_class_without_available_servers_is_refused_before_its_deadline() {
     for kinds in [vec![1], vec![7], vec![]] {
-        let set = settings(vec![placed_class(Effect::Safe, None, Some(kinds)), class(Effect::Safe)]);
-        let mut node = TestNode::new(set, 6, 5);
-        let away = (0..6).filter(|n| n % 2 == 1);
-        let away = away.map(|n| ServerEntry { readiness: Readiness::Draining, ..entry(n) }).collect();
-        node.update_servers(ListKind::Partial, away);
+        let node_settings =
+            settings(vec![placed_class(Effect::Safe, None, Some(kinds)), class(Effect::Safe)]);
+        let mut node = TestNode::new(node_settings, 6, 5);
+        let draining = (0..6).filter(|n| n % 2 == 1);
+        let draining = draining.map(|n| ServerEntry { readiness: Readiness::Draining, ..entry(n) }).collect();
+        node.update_servers(ListKind::Partial, draining);
         let (_, mut actions) = node.request(0, S);
         actions.extend(node.advance(S));
         assert!(sent_to(&actions).is_none() && is_refused(&actions));
-        assert!(node.serve(1, |_| 10 * MS).is_some(), "others are served meanwhile");
+        assert!(node.serve(1, |_| 10 * MS).is_some(), "another class is served meanwhile");
     }
 }
 
-/// Further attempts that `node` makes for one request whose attempts all end in `status`.
+/// Sends one request whose attempts all end with `status`; returns the number of attempts beyond the first.
 fn further_attempts(node: &mut TestNode, status: Status) -> usize {
     let (id, mut actions) = node.request(0, S);
     let mut attempts = 0;
@@ -461,60 +466,70 @@
 }
 
 #[test]
-fn further_attempts_of_every_sort_stay_within_the_stated_budget() {
+fn further_attempts_after_any_failure_stay_within_the_configured_budget() {
     for status in [Status::Error, Status::ConnectFailed, Status::Reset] {
         let budget = AttemptBudget { free: 2.0, share: 0.25, span: 5 * S };
-        let set = Settings { attempt_budget: Some(budget), ..settings(vec![class(Effect::Safe)]) };
-        let mut node = TestNode::new(set, 12, 4);
-        let (mut taken, mut made): (Vec<Nanos>, Vec<Nanos>) = (vec![], vec![]);
+        let node_settings = Settings { attempt_budget: Some(budget), ..settings(vec![class(Effect::Safe)]) };
+        let mut node = TestNode::new(node_settings, 12, 4);
+        let (mut arrivals, mut repeats): (Vec<Nanos>, Vec<Nanos>) = (vec![], vec![]);
         for turn in 0..600u64 {
             node.advance(if turn % 50 == 0 { 6 * S } else { 10 * MS });
-            taken.push(node.now);
-            // Troubles come and go, so that there is always a server worth another attempt.
+            arrivals.push(node.now);
+            // Failures come and go, so that a repeat always has a promising server.
             let status = if turn % 7 < 3 { status } else { Status::Ok };
-            made.extend(vec![node.now; further_attempts(&mut node, status)]);
+            repeats.extend(vec![node.now; further_attempts(&mut node, status)]);
             let within = |times: &[Nanos]| times.iter().filter(|&&t| t + 5 * S >= node.now).count() as f64;
-            assert!(within(&made) <= 2.0 + 0.25 * within(&taken), "turn {turn}");
+            assert!(within(&repeats) <= 2.0 + 0.25 * within(&arrivals), "turn {turn}");
         }
-        assert!(made.len() > 60, "the budget is there to be used: {}", made.len());
+        assert!(repeats.len() > 60, "the budget is used: {}", repeats.len());
     }
 }
 
 #[test]
-fn the_budget_counts_to_the_nanosecond_and_from_nothing_after_a_restart() {
+fn the_budget_window_is_exact_to_the_nanosecond_and_empty_after_a_restart() {
     let budget = AttemptBudget { free: 1.0, share: 0.0, span: 5 * S };
-    let set = Settings { attempt_budget: Some(budget), ..settings(vec![class(Effect::Safe)]) };
-    let start = || TestNode::new(set.clone(), 9, 4);
+    let node_settings = Settings { attempt_budget: Some(budget), ..settings(vec![class(Effect::Safe)]) };
+    let start = || TestNode::new(node_settings.clone(), 9, 4);
     let mut node = start();
     assert_eq!(further_attempts(&mut node, Status::ConnectFailed), 1);
     node.now += 5 * S;
     assert_eq!(
         further_attempts(&mut node, Status::ConnectFailed),
         0,
-        "the first is still in a window of 5 s"
+        "the first repeat is still within the window of 5 s"
     );
     node.now += 1;
     assert_eq!(further_attempts(&mut node, Status::ConnectFailed), 1);
     assert_eq!(
         further_attempts(&mut start(), Status::ConnectFailed),
         1,
-        "a restarted node has spent nothing"
+        "a restarted node has its whole budget"
     );
 }
 
+/// A step of a generated test. Indices of requests and attempts are taken modulo their present number.
 #[derive(Clone, Debug)]
 enum Step {
+    /// A request of this class with this budget.
     Request(usize, Nanos),
+    /// The same with a body that has not arrived yet.
     LongRequest(usize, Nanos),
+    /// The last byte of the body of the request with this open attempt.
     EndUpload(usize),
+    /// The end of this open attempt.
     EndAttempt(usize, Status),
-    CancelRequest(usize),
+    /// The client of this request leaves.
+    ClientLeaves(usize),
     Advance(Nanos),
+    /// News of a server: its readiness and whether it has restarted.
     UpdateServer(u32, Readiness, bool),
+    /// The start or the end of a server's maintenance.
     SetMaintenance(u32, bool),
+    /// A failed call for the server list.
     ListFailed,
 }
 
+/// Generates a step.
 fn step() -> impl Strategy<Value = Step> {
     let status = prop::sample::select(vec![
         Status::Ok,
@@ -533,7 +548,7 @@
         1 => (0usize..7, prop::sample::select(vec![5 * MS, S])).prop_map(|(c, b)| Step::LongRequest(c, b)),
         1 => (0usize..64).prop_map(Step::EndUpload),
         4 => (0usize..64, status).prop_map(|(n, s)| Step::EndAttempt(n, s)),
-        1 => (0usize..64).prop_map(Step::CancelRequest),
+        1 => (0usize..64).prop_map(Step::ClientLeaves),
         2 => (0u64..120).prop_map(|ms| Step::Advance(ms * MS)),
         1 => (0u32..8, readiness, any::<bool>()).prop_map(|(n, r, b)| Step::UpdateServer(n, r, b)),
         1 => (0u32..8, any::<bool>()).prop_map(|(n, out)| Step::SetMaintenance(n, out)),
@@ -543,84 +558,92 @@
 
 const BUDGET: AttemptBudget = AttemptBudget { free: 3.0, share: 0.2, span: 500 * MS };
 
+/// What the checker knows about a request.
 struct TrackedRequest {
     class: usize,
     deadline: Nanos,
     answers: u32,
+    /// Server, time and, once it has ended, status of each attempt.
     attempts: Vec<(u32, Nanos, Option<Status>)>,
 }
 
-/// The rules seen from outside, over any sequence of events.
+/// A node and a model that checks the rules on its actions, for any sequence of events.
 struct RuleChecker {
     node: TestNode,
     classes: Vec<Class>,
     arrivals: Vec<Nanos>,
     further_attempts: Vec<Nanos>,
-    ready_in_list: std::collections::BTreeSet<u32>, // by the list
-    in_maintenance: std::collections::BTreeSet<u32>, // by hand
+    ready_in_list: std::collections::BTreeSet<u32>,
+    in_maintenance: std::collections::BTreeSet<u32>,
     requests: std::collections::BTreeMap<RequestId, TrackedRequest>,
 }
 
 impl RuleChecker {
+    /// Checks actions of the node and records them.
     fn check_actions(&mut self, actions: Vec<Action>) {
         let now = self.node.now;
         for action in actions {
             match action {
                 Action::Send { id, server: ServerId(server), .. } => {
-                    let owed = self.requests.get_mut(&id).expect("a request that was given");
-                    assert_eq!(owed.answers, 0, "sent after its end");
-                    assert!(self.ready_in_list.contains(&server), "sent to a server that takes nothing");
-                    assert!(!self.in_maintenance.contains(&server), "sent to a server that was taken out");
-                    assert!(owed.attempts.iter().all(|(.., s)| s.is_some()), "two attempts at once");
-                    let (class, at) = (&self.classes[owed.class], entry(server));
-                    assert!(class.placement.allows(&at), "outside of its placement");
-                    if !owed.attempts.is_empty() {
+                    let request = self.requests.get_mut(&id).expect("the request is known");
+                    assert_eq!(request.answers, 0, "sent after its answer");
+                    assert!(self.ready_in_list.contains(&server), "sent to a server that is not ready");
+                    assert!(!self.in_maintenance.contains(&server), "sent to a server in maintenance");
+                    assert!(request.attempts.iter().all(|(.., s)| s.is_some()), "two attempts at once");
+                    let (class, at) = (&self.classes[request.class], entry(server));
+                    assert!(
+                        class.placement.allows(&at),
+                        "sent to a server that its placement does not permit"
+                    );
+                    if !request.attempts.is_empty() {
                         self.further_attempts.push(now);
                         let within =
                             |t: &[Nanos]| t.iter().filter(|&&t| t + BUDGET.span >= now).count() as f64;
                         let allowed = BUDGET.free + BUDGET.share * within(&self.arrivals);
-                        assert!(within(&self.further_attempts) <= allowed, "beyond the budget of attempts");
+                        assert!(within(&self.further_attempts) <= allowed, "over the attempt budget");
                     }
-                    let ran = owed.attempts.iter().find(|(.., s)| !s.is_some_and(Status::never_ran));
+                    let ran = request.attempts.iter().find(|(.., s)| !s.is_some_and(Status::never_ran));
                     match (class.effect, ran) {
                         (Effect::Safe, _) | (_, None) => {}
-                        (Effect::Unsafe, Some(_)) => panic!("may have run twice"),
+                        (Effect::Unsafe, Some(_)) => panic!("an unsafe request may have run twice"),
                         (Effect::Keyed { group, window }, Some(&(first, at, _))) => {
                             assert!(now < at + window);
                             assert!(group == Group::All || server % 3 == first % 3);
                             assert!(group != Group::Cell || server % 6 == first % 6);
                         }
                     }
-                    owed.attempts.push((server, now, None));
-                    assert!(owed.attempts.len() <= 4);
+                    request.attempts.push((server, now, None));
+                    assert!(request.attempts.len() <= 4);
                 }
                 Action::Refuse { id, retry_after } => {
-                    assert!((1..=S).contains(&retry_after), "advice that clients do not heed: {retry_after}");
-                    let owed = self.requests.get_mut(&id).expect("a request that was given");
-                    owed.answers += 1;
-                    let clean = owed.attempts.iter().all(|(.., s)| s.is_some_and(Status::never_ran));
-                    let free = matches!(
-                        self.classes[owed.class].effect,
+                    assert!(
+                        (1..=S).contains(&retry_after),
+                        "retry_after outside of the range that clients honor: {retry_after}"
+                    );
+                    let request = self.requests.get_mut(&id).expect("the request is known");
+                    request.answers += 1;
+                    let never_ran = request.attempts.iter().all(|(.., s)| s.is_some_and(Status::never_ran));
+                    let may_be_refused = matches!(
+                        self.classes[request.class].effect,
                         Effect::Safe | Effect::Keyed { group: Group::All, .. }
                     );
-                    assert!(clean || free, "refused though it may have run");
-                }
-                Action::Fail { id } => {
-                    self.requests.get_mut(&id).expect("a request that was given").answers += 1
+                    assert!(never_ran || may_be_refused, "refused although it may have run");
                 }
+                Action::Fail { id } => self.requests.get_mut(&id).expect("the request is known").answers += 1,
                 _ => {}
             }
         }
-        assert!(self.requests.values().all(|o| o.answers <= 1), "two answers");
+        assert!(self.requests.values().all(|request| request.answers <= 1), "two answers");
     }
 
+    /// Ends an attempt with this status.
     fn end_attempt(&mut self, id: RequestId, attempt: usize, status: Status) {
-        let owed = self.requests.get_mut(&id).expect("known");
-        let (server, at, _) = owed.attempts[attempt];
-        owed.attempts[attempt].2 = Some(status);
-        let terminal = owed.answers > 0 || status == Status::Ok;
-        if status == Status::Ok && owed.answers == 0 {
-            owed.answers = 1;
+        let request = self.requests.get_mut(&id).expect("known");
+        let (server, at, _) = request.attempts[attempt];
+        request.attempts[attempt].2 = Some(status);
+        let terminal = request.answers > 0 || status == Status::Ok;
+        if status == Status::Ok && request.answers == 0 {
+            request.answers = 1;
         }
         let latency = self.node.now - at;
         let server = ServerId(server);
@@ -630,14 +653,15 @@
         self.check_actions(actions);
     }
 
+    /// Returns the open attempts, with the ids of their requests.
     fn open_attempts(&self) -> Vec<(RequestId, usize)> {
-        let open = |(id, o): (&RequestId, &TrackedRequest)| {
-            o.attempts.last().and_then(|s| s.2.is_none().then_some(*id))
+        let open = |(id, request): (&RequestId, &TrackedRequest)| {
+            request.attempts.last().and_then(|s| s.2.is_none().then_some(*id))
         };
         self.requests.iter().filter_map(open).map(|id| (id, self.requests[&id].attempts.len() - 1)).collect()
     }
 
-    /// Time passes as the host lets it pass: attempts end at the client's deadline at the latest.
+    /// Advances the clock in steps of 10 ms. Like a host, it ends attempts with a timeout at the client's deadline.
     fn advance(&mut self, time: Nanos) {
         let until = self.node.now + time;
         while self.node.now < until {
@@ -649,8 +673,11 @@
             }
             let actions = self.node.handle(Event::Timer(0));
             self.check_actions(actions);
-            for owed in self.requests.values() {
-                assert!(owed.answers == 1 || owed.deadline + 16 * MS > self.node.now, "no answer in time");
+            for request in self.requests.values() {
+                assert!(
+                    request.answers == 1 || request.deadline + 16 * MS > self.node.now,
+                    "no answer in time"
+                );
             }
         }
     }
@@ -667,17 +694,16 @@
             placed_class(Effect::Safe, Some(vec![0, 2]), None),
             placed_class(keyed(Group::Zone), None, Some(vec![1])),
         ];
-        let set = Settings { attempt_budget: Some(BUDGET), ..settings(classes.clone()) };
-        let node = TestNode::new(set, 6, 17);
-        let (ready, owed) = ((0..6).collect(), Default::default());
+        let node_settings = Settings { attempt_budget: Some(BUDGET), ..settings(classes.clone()) };
+        let node = TestNode::new(node_settings, 6, 17);
         RuleChecker {
             node,
             classes,
             arrivals: vec![],
             further_attempts: vec![],
-            ready_in_list: ready,
+            ready_in_list: (0..6).collect(),
             in_maintenance: Default::default(),
-            requests: owed,
+            requests: Default::default(),
         }
     }
 
@@ -710,9 +736,13 @@
                     self.end_attempt(id, attempt, status);
                 }
             }
-            Step::CancelRequest(n) => {
-                let live: Vec<RequestId> =
-                    self.requests.iter().filter(|(_, o)| o.answers == 0).map(|(id, _)| *id).collect();
+            Step::ClientLeaves(n) => {
+                let live: Vec<RequestId> = self
+                    .requests
+                    .iter()
+                    .filter(|(_, request)| request.answers == 0)
+                    .map(|(id, _)| *id)
+                    .collect();
                 if let Some(&id) = live.get(n % live.len().max(1)) {
                     self.requests.get_mut(&id).expect("live").answers = 1;
                     let actions = self.node.handle(Event::Gone(id));
@@ -748,18 +778,20 @@
         }
     }
 
-    /// Forgets what no rule looks at any more.
+    /// Drops records that no rule refers to any more.
     fn drop_finished(&mut self) {
         let from = self.node.now.saturating_sub(BUDGET.span);
         self.arrivals.retain(|&at| at >= from);
         self.further_attempts.retain(|&at| at >= from);
-        self.requests.retain(|_, o| o.answers == 0 || o.attempts.last().is_some_and(|s| s.2.is_none()));
+        self.requests.retain(|_, request| {
+            request.answers == 0 || request.attempts.last().is_some_and(|s| s.2.is_none())
+        });
     }
 
-    /// Lets all end; every request has its one answer then.
+    /// Lets all requests end and checks that each has exactly one answer.
     fn finish(mut self) {
         self.advance(2 * S);
-        assert!(self.requests.values().all(|o| o.answers == 1));
+        assert!(self.requests.values().all(|request| request.answers == 1));
     }
 }
 
@@ -772,25 +804,26 @@
 
     #[test]
     fn the_rules_hold_over_any_sequence_of_events(steps in prop::collection::vec(step(), 1..300)) {
-        let mut watcher = RuleChecker::new();
-        steps.into_iter().for_each(|step| watcher.step(step));
-        watcher.finish();
+        let mut checker = RuleChecker::new();
+        steps.into_iter().for_each(|step| checker.step(step));
+        checker.finish();
     }
 }
 
-/// One node's long life: `cargo test --release -p merlinfold-decide --test rules million -- --ignored`.
+/// Runs one node for a million events. Run it with
+/// `cargo test --release -p merlinfold-decide --test rules million -- --ignored`.
 #[test]
-#[ignore = "a million events: only by hand"]
+#[ignore = "takes too long for every run"]
 fn the_rules_hold_over_a_million_events() {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::TestRunner;
-    let (mut runner, mut watcher, step) = (TestRunner::deterministic(), RuleChecker::new(), step());
+    let (mut runner, mut checker, step) = (TestRunner::deterministic(), RuleChecker::new(), step());
     for n in 0..1_000_000 {
-        watcher.step(step.new_tree(&mut runner).expect("a step").current());
+        checker.step(step.new_tree(&mut runner).expect("a step").current());
         if n % 64 == 0 {
-            watcher.drop_finished();
-            assert!(watcher.node.balancer.known_servers() <= 8, "servers that are gone are forgotten");
+            checker.drop_finished();
+            assert!(checker.node.balancer.known_servers() <= 8, "the node forgets removed servers");
         }
     }
-    watcher.finish();
+    checker.finish();
 }
