--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -1,5 +1,5 @@
-//! Bodies on their way through the node. Short ones are held, long ones pass through frame by frame: neither side
-//! is read faster than the other takes it.
+//! Request and response bodies. Short bodies are buffered whole; long bodies are streamed frame by frame, so that
+//! neither side is read faster than the other accepts data.
 
 use std::future::Future;
 use std::io;
@@ -19,150 +19,151 @@
 use crate::capacity::{Slots, BODY_UNIT_BYTES};
 use crate::clock::Clock;
 
-/// Bytes of a body up to which it may be held, either way.
+/// Maximum size of a request or response body that is buffered, in bytes.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-const UNRESERVED_BODY_BYTES: usize = 8 << 10; // bytes of a body that are held without asking: as many as a connection buffers
-const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(2); // without a byte of a body that its client owes
+/// Bytes of a body that may be buffered without a reservation: as many as a connection buffers anyway.
+const UNRESERVED_BODY_BYTES: usize = 8 << 10;
+/// Longest time without a byte of a streamed request body before the client counts as stalled.
+const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What all bodies that are held may take together.
+/// Memory that all buffered bodies may use together.
 #[derive(Clone)]
 pub struct BufferBudget(pub Arc<Slots>);
 
-/// The part of the budget that one body has; none for a small one.
+/// The share of the budget that one body has reserved; `None` for a body of at most [`UNRESERVED_BODY_BYTES`].
 pub type BufferReservation = Option<OwnedSemaphorePermit>;
 
 impl BufferBudget {
-    /// Room for a body of this size; none if there is not so much left.
+    /// Reserves memory for a body of `bytes`; returns `None` if the budget has too little left.
     fn reserve(&self, bytes: usize) -> Option<BufferReservation> {
         if bytes <= UNRESERVED_BODY_BYTES {
             return Some(None);
         }
-        let units = bytes.div_ceil(BODY_UNIT_BYTES) as u32; // a held body has 64 of them at most
+        let units = bytes.div_ceil(BODY_UNIT_BYTES) as u32; // at most 64 for one buffered body
         self.0.try_acquire(units).map(Some)
     }
 }
 
-/// A whole body, with the room that it takes.
+/// A complete body in memory, with its reservation.
 #[derive(Debug)]
 pub struct BufferedBody {
-    /// Its bytes.
+    /// Content of the body.
     pub bytes: Bytes,
     _reservation: BufferReservation,
 }
 
 impl BufferedBody {
-    /// One that fits in a connection's buffer and takes no room.
+    /// Wraps a body that fits in a connection's buffer and needs no reservation.
     pub fn small(bytes: Bytes) -> Self {
         BufferedBody { bytes, _reservation: None }
     }
 }
 
 impl From<BodyPrefix> for BufferedBody {
-    fn from(gathered: BodyPrefix) -> Self {
-        BufferedBody { bytes: gathered.bytes, _reservation: gathered.reservation }
+    fn from(prefix: BodyPrefix) -> Self {
+        BufferedBody { bytes: prefix.bytes, _reservation: prefix.reservation }
     }
 }
 
-/// What was read of a body before it was decided what to do with it.
+/// The first part of a body, read before it is known whether the body is buffered or streamed.
 pub struct BodyPrefix {
-    /// Its bytes so far.
+    /// Bytes read so far.
     pub bytes: Bytes,
-    /// The room that they take.
+    /// Reservation for these bytes.
     pub reservation: BufferReservation,
-    /// All of it.
+    /// Whether these bytes are the whole body.
     pub is_complete: bool,
 }
 
 /// Why a body could not be read.
 pub enum BodyError {
-    /// It did not come in time.
+    /// The next bytes did not arrive in time.
     TimedOut,
-    /// Its connection or its framing broke.
+    /// The connection failed or the framing is invalid.
     Broken,
 }
 
-/// Reads a body as far as it may be held. `next` tells how long to wait for more when so many bytes are there;
-/// where it gives up without fault, what there is passes on.
+/// Reads a body until it is complete or exceeds what may be buffered. `wait_limit` maps the number of bytes received to
+/// the time until which to wait for more, and to what happens then: an error, or streaming of the rest.
 pub async fn buffer_body(
-    body: &mut Incoming, budget: &BufferBudget, next: impl Fn(usize) -> (Instant, OnTimeout),
+    body: &mut Incoming, budget: &BufferBudget, wait_limit: impl Fn(usize) -> (Instant, OnTimeout),
 ) -> Result<BodyPrefix, BodyError> {
-    let told = body.size_hint().exact();
-    let none = BodyPrefix { bytes: Bytes::new(), reservation: None, is_complete: false };
-    // Where the length is told room is taken once; a body beyond it passes on from its first bytes.
-    let mut share = match told {
-        Some(length) if length > MAX_BUFFERED_BODY_BYTES as u64 => return Ok(none),
+    let length_hint = body.size_hint().exact();
+    let nothing_read = BodyPrefix { bytes: Bytes::new(), reservation: None, is_complete: false };
+    // Memory for a body of known length is reserved once; one that does not fit is streamed from its first byte.
+    let mut reservation = match length_hint {
+        Some(length) if length > MAX_BUFFERED_BODY_BYTES as u64 => return Ok(nothing_read),
         Some(length) => match budget.reserve(length as usize) {
-            Some(share) => share,
-            None => return Ok(none),
+            Some(reservation) => reservation,
+            None => return Ok(nothing_read),
         },
         None => None,
     };
-    let mut held = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while !body.is_end_stream() {
-        let (until, waited) = next(held.len());
-        let frame = match timeout_at(until, body.frame()).await {
+        let (deadline, on_timeout) = wait_limit(buffer.len());
+        let frame = match timeout_at(deadline, body.frame()).await {
             Ok(None) => break,
             Ok(Some(frame)) => frame.map_err(|_| BodyError::Broken)?,
-            Err(_) => match waited {
+            Err(_) => match on_timeout {
                 OnTimeout::Fail => return Err(BodyError::TimedOut),
                 OnTimeout::Stream => {
-                    return Ok(BodyPrefix { bytes: held.freeze(), reservation: share, is_complete: false })
+                    return Ok(BodyPrefix { bytes: buffer.freeze(), reservation, is_complete: false })
                 }
             },
         };
-        let Ok(data) = frame.into_data() else { continue }; // trailers: framing is free
-        if held.is_empty() && told == Some(data.len() as u64) {
-            return Ok(BodyPrefix { bytes: data, reservation: share, is_complete: true });
+        let Ok(data) = frame.into_data() else { continue }; // trailers are dropped: the node chooses its own framing
+        if buffer.is_empty() && length_hint == Some(data.len() as u64) {
+            return Ok(BodyPrefix { bytes: data, reservation, is_complete: true });
         }
-        held.extend_from_slice(&data);
-        if told.is_none() && share.is_none() && held.len() > UNRESERVED_BODY_BYTES {
+        buffer.extend_from_slice(&data);
+        if length_hint.is_none() && reservation.is_none() && buffer.len() > UNRESERVED_BODY_BYTES {
             match budget.reserve(MAX_BUFFERED_BODY_BYTES) {
-                Some(reserved) => share = reserved,
-                None => {
-                    return Ok(BodyPrefix { bytes: held.freeze(), reservation: share, is_complete: false })
-                }
+                Some(reserved) => reservation = reserved,
+                None => return Ok(BodyPrefix { bytes: buffer.freeze(), reservation, is_complete: false }),
             }
         }
-        if held.len() > MAX_BUFFERED_BODY_BYTES {
-            return Ok(BodyPrefix { bytes: held.freeze(), reservation: share, is_complete: false });
+        if buffer.len() > MAX_BUFFERED_BODY_BYTES {
+            return Ok(BodyPrefix { bytes: buffer.freeze(), reservation, is_complete: false });
         }
     }
-    Ok(BodyPrefix { bytes: held.freeze(), reservation: share, is_complete: true })
+    Ok(BodyPrefix { bytes: buffer.freeze(), reservation, is_complete: true })
 }
 
-/// What it means that no more of a body has come.
+/// What happens when no more of a body arrives in time.
 pub enum OnTimeout {
-    /// Its sender is at fault.
+    /// Reading fails, because the sender is too slow.
     Fail,
-    /// It is time to pass on what there is.
+    /// The bytes received so far are forwarded, and the rest is streamed.
     Stream,
 }
 
-/// A long body on its way from a client: nothing of it is kept, so it goes out once, unless nothing was taken yet.
+/// A streamed request body. Bytes that were passed on are not kept, so the body can be sent once only, except while no
+/// byte beyond the prefix has been read.
 pub struct Upload {
     state: Mutex<UploadState>,
     length: Option<u64>,
     consumed: AtomicBool,
     stalled: AtomicBool,
-    completed_at: AtomicU64, // when its last byte was handed on; 0: not yet
+    completed_at: AtomicU64, // when the last byte was handed to a connection; 0: not yet
     completion: Notify,
     clock: Clock,
 }
 
 struct UploadState {
-    held: Bytes,
-    share: BufferReservation,
+    prefix: Bytes,
+    reservation: BufferReservation,
     rest: Incoming,
 }
 
 impl Upload {
-    /// What was gathered of a body, and the rest.
-    pub fn new(gathered: BodyPrefix, rest: Incoming, clock: Clock) -> Self {
-        let told = rest.size_hint().exact().map(|rest| rest + gathered.bytes.len() as u64);
-        let BodyPrefix { bytes: held, reservation: share, .. } = gathered;
+    /// Creates an upload from the prefix that was read and the rest of the body.
+    pub fn new(prefix: BodyPrefix, rest: Incoming, clock: Clock) -> Self {
+        let length_hint = rest.size_hint().exact().map(|rest| rest + prefix.bytes.len() as u64);
+        let BodyPrefix { bytes, reservation, .. } = prefix;
         Upload {
-            state: Mutex::new(UploadState { held, share, rest }),
-            length: told,
+            state: Mutex::new(UploadState { prefix: bytes, reservation, rest }),
+            length: length_hint,
             consumed: AtomicBool::new(false),
             stalled: AtomicBool::new(false),
             completed_at: AtomicU64::new(0),
@@ -172,25 +173,26 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, UploadState> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner) // frames are taken whole or not at all
+        // A frame is taken whole or not at all, so the state stays valid after a panic.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Some of it is gone: it cannot be sent again.
+    /// Returns whether a part of the body is gone, so that it cannot be sent again.
     pub fn is_consumed(&self) -> bool {
         self.consumed.load(Ordering::Relaxed)
     }
 
-    /// Its client owes the rest and did not send it in time.
+    /// Returns whether the client did not send the rest in time.
     pub fn is_stalled(&self) -> bool {
         self.stalled.load(Ordering::Relaxed)
     }
 
-    /// When its last byte was handed to a connection.
+    /// Returns when the last byte was handed to a connection.
     pub fn completed_at(&self) -> Option<Nanos> {
         Some(self.completed_at.load(Ordering::Relaxed)).filter(|&at| at > 0)
     }
 
-    /// Waits until then.
+    /// Waits until the last byte has been handed to a connection, and returns that time.
     pub async fn wait_until_complete(&self) -> Nanos {
         loop {
             let changed = self.completion.notified();
@@ -207,23 +209,23 @@
     }
 }
 
-/// A request's body as an attempt sends it.
+/// The request body that an attempt sends.
 pub enum AttemptBody {
-    /// Held; none once it is sent.
+    /// Buffered; `None` once it is sent.
     Buffered(Option<Bytes>),
-    /// Passing through.
+    /// Streamed from the client.
     Streamed {
-        /// What it comes from.
+        /// Source of the body.
         upload: Arc<Upload>,
-        /// The held part is on its way.
+        /// Whether the prefix has been sent.
         prefix_sent: bool,
-        /// Until its client has to have sent more, while that is what it waits for.
+        /// Runs while the client owes more bytes; the client counts as stalled when it elapses.
         stall_timer: Option<Pin<Box<Sleep>>>,
     },
 }
 
 impl AttemptBody {
-    /// From the beginning of the upload.
+    /// Streams an upload from its first byte.
     pub fn streamed(upload: Arc<Upload>) -> Self {
         AttemptBody::Streamed { upload, prefix_sent: false, stall_timer: None }
     }
@@ -236,26 +238,27 @@
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
             AttemptBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            AttemptBody::Streamed { upload, prefix_sent: held_sent, stall_timer: patience } => {
-                let mut parts = upload.lock();
-                if !std::mem::replace(held_sent, true) && !parts.held.is_empty() {
-                    return Poll::Ready(Some(Ok(Frame::data(parts.held.clone()))));
+            AttemptBody::Streamed { upload, prefix_sent, stall_timer } => {
+                let mut state = upload.lock();
+                if !std::mem::replace(prefix_sent, true) && !state.prefix.is_empty() {
+                    return Poll::Ready(Some(Ok(Frame::data(state.prefix.clone()))));
                 }
-                let frame = match Pin::new(&mut parts.rest).poll_frame(cx) {
+                let frame = match Pin::new(&mut state.rest).poll_frame(cx) {
                     Poll::Ready(frame) => frame,
                     Poll::Pending => {
-                        let patience = patience.get_or_insert_with(|| Box::pin(sleep(UPLOAD_STALL_TIMEOUT)));
-                        ready!(patience.as_mut().poll(cx));
+                        let stall_timer =
+                            stall_timer.get_or_insert_with(|| Box::pin(sleep(UPLOAD_STALL_TIMEOUT)));
+                        ready!(stall_timer.as_mut().poll(cx));
                         upload.stalled.store(true, Ordering::Relaxed);
                         upload.consumed.store(true, Ordering::Relaxed);
                         return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                     }
                 };
-                *patience = None;
+                *stall_timer = None;
                 upload.consumed.store(true, Ordering::Relaxed);
-                (parts.held, parts.share) = (Bytes::new(), None);
-                let broke = matches!(frame, Some(Err(_)));
-                if frame.is_none() || !broke && parts.rest.is_end_stream() {
+                (state.prefix, state.reservation) = (Bytes::new(), None);
+                let failed = matches!(frame, Some(Err(_)));
+                if frame.is_none() || !failed && state.rest.is_end_stream() {
                     upload.complete();
                 }
                 Poll::Ready(frame.map(|frame| frame.map_err(io::Error::other)))
--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -1,72 +1,75 @@
-//! What a process may hold: descriptors for clients and for servers, bytes of bodies. Two processes of one node,
-//! while one takes over from the other, hold no more together than one alone.
+//! Limits on client connections, server connections and memory for buffered bodies. While one process of a node takes
+//! over from another, the two together use no more than one alone.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Callers of the console at once.
+/// Maximum number of concurrent console connections.
 pub const MAX_CONSOLE_CONNECTIONS: usize = 16;
-const CLIENT_DESCRIPTORS_DIVISOR: usize = 3; // one descriptor in so many may be held by clients
-const BODY_MEMORY_DIVISOR: usize = 4; // one byte of memory in so many may be held as bodies
-const SUCCESSOR_STARTUP_DESCRIPTORS: usize = 16; // what a successor opens before there is room: log, state, discovery, a caller
-const MIN_SERVER_CONNECTIONS: usize = 4; // connections without which a node serves nothing
-/// Descriptors beside those of clients and servers: listeners, peers, discovery, runtime, log, callers.
+const CLIENT_DESCRIPTORS_DIVISOR: usize = 3; // clients may use a third of the descriptors
+const BODY_MEMORY_DIVISOR: usize = 4; // buffered bodies may use a quarter of the memory
+/// Descriptors that a successor opens before its predecessor has released any: log, state, discovery, one console
+/// connection.
+const SUCCESSOR_STARTUP_DESCRIPTORS: usize = 16;
+const MIN_SERVER_CONNECTIONS: usize = 4; // fewer would keep a node from serving at all
+/// Descriptors for everything but clients and servers: listeners, peers, discovery, runtime, log, console connections.
 pub const RESERVED_DESCRIPTORS: usize = 16 + MAX_CONSOLE_CONNECTIONS;
-/// Bytes in one unit of the capacity for bodies.
+/// Bytes in one slot of the capacity for buffered bodies.
 pub const BODY_UNIT_BYTES: usize = 1 << 10;
 
-/// How much of each.
+/// An amount of each resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allocation {
     /// Connections of clients.
     pub clients: usize,
     /// Connections to servers.
     pub servers: usize,
-    /// Units of held bodies.
+    /// Memory for buffered bodies, in units of [`BODY_UNIT_BYTES`].
     pub bodies: usize,
 }
 
 impl Allocation {
-    /// Of so many descriptors and bytes of memory, alone or beside another process.
+    /// Computes the allocation of a process from the limits on descriptors and bytes of memory. `beside` halves it for
+    /// a process that runs beside another process of the node.
     pub fn new(sockets: usize, memory: usize, beside: bool) -> Self {
         let clients = sockets / CLIENT_DESCRIPTORS_DIVISOR;
         let left = sockets.saturating_sub(clients + RESERVED_DESCRIPTORS);
         let servers = left
             .saturating_sub(SUCCESSOR_STARTUP_DESCRIPTORS)
             .min(sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2);
-        let alone = Allocation {
+        let full = Allocation {
             clients,
             servers: servers.max(MIN_SERVER_CONNECTIONS),
             bodies: (memory / BODY_MEMORY_DIVISOR / BODY_UNIT_BYTES).min(Semaphore::MAX_PERMITS),
         };
         if !beside {
-            return alone;
+            return full;
         }
-        let Allocation { clients, servers, bodies } = alone;
+        let Allocation { clients, servers, bodies } = full;
         let half = |all: usize| all.saturating_sub(RESERVED_DESCRIPTORS) / 2;
         Allocation {
             clients: clients / 2,
-            // Its own listeners and callers come out of the servers' part.
+            // Its listeners and console connections are taken from the share of the servers.
             servers: half(servers).max(MIN_SERVER_CONNECTIONS),
             bodies: bodies / 2,
         }
     }
 
-    /// What is left of all this beside a process that keeps so much.
-    fn remaining_beside(self, kept: Allocation) -> Self {
+    /// Returns what is left of this allocation beside a process that uses `other`.
+    fn remaining_beside(self, other: Allocation) -> Self {
         Allocation {
-            clients: self.clients.saturating_sub(kept.clients),
+            clients: self.clients.saturating_sub(other.clients),
             servers: self
                 .servers
-                .saturating_sub(kept.servers + RESERVED_DESCRIPTORS)
+                .saturating_sub(other.servers + RESERVED_DESCRIPTORS)
                 .max(MIN_SERVER_CONNECTIONS),
-            bodies: self.bodies.saturating_sub(kept.bodies),
+            bodies: self.bodies.saturating_sub(other.bodies),
         }
     }
 
-    /// The lesser of each.
+    /// Returns the smaller amount of each resource.
     fn min(self, other: Allocation) -> Self {
         Allocation {
             clients: self.clients.min(other.clients),
@@ -76,7 +79,7 @@
     }
 }
 
-/// So many of something, of which each is held by a permit; how many there are may change.
+/// A resizable counting semaphore.
 #[derive(Debug)]
 pub struct Slots {
     free: Arc<Semaphore>,
@@ -85,76 +88,76 @@
 }
 
 impl Slots {
-    /// That many.
-    pub fn new(most: usize) -> Arc<Self> {
+    /// Creates `total` free slots.
+    pub fn new(total: usize) -> Arc<Self> {
         Arc::new(Slots {
-            free: Arc::new(Semaphore::new(most)),
-            total: AtomicUsize::new(most),
-            target: AtomicUsize::new(most),
+            free: Arc::new(Semaphore::new(total)),
+            total: AtomicUsize::new(total),
+            target: AtomicUsize::new(total),
         })
     }
 
-    /// Waits for one, in the order of asking.
+    /// Waits for a free slot, first come first served.
     pub async fn acquire(&self) -> OwnedSemaphorePermit {
-        self.free.clone().acquire_owned().await.expect("it is never closed")
+        self.free.clone().acquire_owned().await.expect("the semaphore is never closed")
     }
 
-    /// So many at once, if they are free.
+    /// Acquires `count` slots at once, if they are free.
     pub fn try_acquire(&self, count: u32) -> Option<OwnedSemaphorePermit> {
         self.free.clone().try_acquire_many_owned(count).ok()
     }
 
-    /// Free ones.
+    /// Returns the number of free slots.
     pub fn free(&self) -> usize {
         self.free.available_permits()
     }
 
-    /// All that there are now, free or held.
+    /// Returns the current number of slots, free or in use.
     pub fn total(&self) -> usize {
         self.total.load(Ordering::Relaxed)
     }
 
-    /// Those that are held.
+    /// Returns the number of slots in use.
     pub fn in_use(&self) -> usize {
         self.total().saturating_sub(self.free())
     }
 
-    /// From now on there are to be so many. Of too many those that are held go as they are given back: see
-    /// [`Slots::settle`].
+    /// Sets the target number of slots. When there are more, slots in use are removed as they are released: see
+    /// [`Slots::reclaim`].
     pub fn resize(&self, target: usize) {
         self.target.store(target, Ordering::Relaxed);
-        let most = self.total();
-        if target > most {
-            self.free.add_permits(target - most);
+        let total = self.total();
+        if target > total {
+            self.free.add_permits(target - total);
             self.total.store(target, Ordering::Relaxed);
         }
         self.reclaim();
     }
 
-    /// Takes away what is free of too many. Whether there are no more than there should be.
+    /// Removes free slots above the target. Returns whether the number of slots is now within the target.
     pub fn reclaim(&self) -> bool {
-        let (most, target) = (self.total(), self.target.load(Ordering::Relaxed));
-        let most = most - self.free.forget_permits(most.saturating_sub(target));
-        self.total.store(most, Ordering::Relaxed);
-        most <= target
+        let (total, target) = (self.total(), self.target.load(Ordering::Relaxed));
+        let total = total - self.free.forget_permits(total.saturating_sub(target));
+        self.total.store(total, Ordering::Relaxed);
+        total <= target
     }
 }
 
-/// All that a process may hold.
+/// The resource limits of a process.
 #[derive(Clone, Debug)]
 pub struct Capacity {
     /// Connections of clients.
     pub clients: Arc<Slots>,
     /// Connections to servers.
     pub servers: Arc<Slots>,
-    /// Bytes of bodies, in units.
+    /// Memory for buffered bodies, in units of [`BODY_UNIT_BYTES`].
     pub bodies: Arc<Slots>,
     sockets: usize,
     memory: usize,
 }
 
 impl Capacity {
-    /// Of so many descriptors and bytes of memory.
+    /// Creates the limits from the numbers of descriptors and bytes of memory, see [`Allocation::new`].
     pub fn new(sockets: usize, memory: usize, beside: bool) -> Self {
         let Allocation { clients, servers, bodies } = Allocation::new(sockets, memory, beside);
         Capacity {
@@ -166,20 +169,20 @@
         }
     }
 
-    /// Halves it for another process, or takes it back.
+    /// Halves the limits while another process runs beside this one, or restores them.
     pub fn resize(&self, beside: bool) {
         self.set(Allocation::new(self.sockets, self.memory, beside));
     }
 
-    /// Takes what the process that came first does not keep, up to a half. Whether that is the half.
-    pub fn fit_beside(&self, kept: Allocation) -> bool {
+    /// Takes what the first process does not use, up to a half. Returns whether this process now has its half.
+    pub fn fit_beside(&self, other: Allocation) -> bool {
         let half = Allocation::new(self.sockets, self.memory, true);
-        let shares = Allocation::new(self.sockets, self.memory, false).remaining_beside(kept).min(half);
-        self.set(shares);
-        shares == half
+        let allocation = Allocation::new(self.sockets, self.memory, false).remaining_beside(other).min(half);
+        self.set(allocation);
+        allocation == half
     }
 
-    /// What this process keeps for as long as it is held.
+    /// Returns the current limits, including slots above the target that are still in use.
     pub fn allocation(&self) -> Allocation {
         let [clients, servers, bodies] =
             [&self.clients, &self.servers, &self.bodies].map(|slots| slots.total());
@@ -192,10 +195,11 @@
         self.bodies.resize(bodies);
     }
 
-    /// Whether no more is held than there should be. Bodies end by themselves, soon: nobody waits for them.
-    pub fn settle(&self) -> bool {
-        let settled = [&self.clients, &self.servers, &self.bodies].map(|slots| slots.reclaim());
-        settled[0] && settled[1]
+    /// Removes free slots above the targets. Returns whether client and server connections are within theirs; buffered
+    /// bodies are not waited for, as they end soon by themselves.
+    pub fn reclaim(&self) -> bool {
+        let within_target = [&self.clients, &self.servers, &self.bodies].map(|slots| slots.reclaim());
+        within_target[0] && within_target[1]
     }
 }
 
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,11 +1,11 @@
-//! Time as the decision module counts it.
+//! The clock of the decision module.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use merlinfold_decide::interface::Nanos;
 use tokio::time::Instant;
 
-/// The module's clock: Unix time at the start, which from then on only goes forward.
+/// A monotonic clock that starts at the Unix time of its creation.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -18,10 +18,12 @@
         Clock { start: Instant::now(), start_unix: unix.as_nanos() as Nanos }
     }
 
+    /// Returns the nanoseconds since the Unix epoch.
     pub fn now(&self) -> Nanos {
         self.start_unix + self.start.elapsed().as_nanos() as Nanos
     }
 
+    /// Converts a time of this clock to the runtime's clock; earlier times become the start.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.start + Duration::from_nanos(at.saturating_sub(self.start_unix))
     }
--- a/crates/node/src/connection_timeouts.rs
+++ b/crates/node/src/connection_timeouts.rs
@@ -1,45 +1,46 @@
-//! How long a client's connection may stay as it is: what moves on it and when goes in, out comes when to close it.
+//! Timeouts of a client connection: from the events on it, computes when to close it and why.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use merlinfold_decide::interface::Nanos;
 
-/// Without a request, from the last answer on. The protocol lets a node close after 2 s.
+/// Longest time without a request after the last response. The protocol allows a node to close after 2 s.
 const IDLE_TIMEOUT: Nanos = 2_100_000_000;
-/// For a whole head from its first byte; clients may take 2 s.
+/// Longest time from the first byte of a request head to its end. Clients may take 2 s.
 const HEAD_TIMEOUT: Nanos = 2_250_000_000;
-/// Without a byte either way, whoever is to blame.
+/// Lower bound of the longest time without a byte in either direction while a request or response is in progress,
+/// whichever side causes it.
 const MIN_STALL_TIMEOUT: Nanos = 15_000_000_000;
 
-/// Why a connection is closed.
+/// Why a timeout closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// No whole head came in time.
+    /// No complete request head arrived in time.
     NoRequest,
-    /// Nothing moved in the middle of a message.
+    /// No byte was transferred for too long in the middle of a message.
     Stalled,
 }
 
-/// What has happened on a connection so far; times are ns since it was accepted.
+/// The state of one connection; times are nanoseconds since it was accepted.
 #[derive(Debug)]
 pub struct ConnectionTimeouts {
-    first_request_timeout: Nanos, // for its first request
-    stall_timeout: Nanos,         // longer than any answer may take
-    request_active: AtomicBool,   // a request is being answered
-    write_blocked: AtomicBool,    // the client takes nothing more for now
-    had_request: AtomicBool,      // there has been a request
-    last_byte_at: AtomicU64,      // the last byte, either way
-    response_ended_at: AtomicU64, // the end of the last answer
-    head_started_at: AtomicU64,   // first byte after the last request's; 0: none yet
+    first_request_timeout: Nanos, // for the first request to begin
+    stall_timeout: Nanos,         // longer than any response may take
+    request_active: AtomicBool,   // a request is in progress
+    write_blocked: AtomicBool,    // the client accepts no more bytes for now
+    had_request: AtomicBool,      // at least one request head has arrived
+    last_byte_at: AtomicU64,      // time of the last byte in either direction
+    response_ended_at: AtomicU64, // end of the last response
+    head_started_at: AtomicU64,   // first byte after the last request; 0: none yet
 }
 
 impl ConnectionTimeouts {
-    /// A connection just accepted, on which the first request has to begin within `idle`, and which waits for
-    /// answers for up to `longest`.
-    pub fn new(idle: Option<Nanos>, longest: Nanos) -> Self {
+    /// Creates the state of a connection just accepted. The first request must begin within `first_request_timeout`, or
+    /// the usual idle timeout if `None`. `longest_response` is the longest time that a response may take.
+    pub fn new(first_request_timeout: Option<Nanos>, longest_response: Nanos) -> Self {
         ConnectionTimeouts {
-            first_request_timeout: idle.unwrap_or(IDLE_TIMEOUT),
-            stall_timeout: MIN_STALL_TIMEOUT.max(longest.saturating_mul(2)),
+            first_request_timeout: first_request_timeout.unwrap_or(IDLE_TIMEOUT),
+            stall_timeout: MIN_STALL_TIMEOUT.max(longest_response.saturating_mul(2)),
             request_active: AtomicBool::new(false),
             write_blocked: AtomicBool::new(false),
             had_request: AtomicBool::new(false),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Bytes have come.
+    /// Records that bytes were received.
     pub fn bytes_received(&self, now: Nanos) {
         self.last_byte_at.store(now, Ordering::Relaxed);
         if self.head_started_at.load(Ordering::Relaxed) == 0 {
@@ -57,57 +58,61 @@
         }
     }
 
-    /// Bytes were written, or could not be.
-    pub fn write_attempted(&self, now: Nanos, taken: bool) {
-        let was_blocked = self.write_blocked.swap(!taken, Ordering::Relaxed);
-        if taken {
+    /// Records a write; `accepted` is false if it would have blocked.
+    pub fn write_attempted(&self, now: Nanos, accepted: bool) {
+        let was_blocked = self.write_blocked.swap(!accepted, Ordering::Relaxed);
+        if accepted {
             self.last_byte_at.store(now, Ordering::Relaxed);
         }
-        if taken && was_blocked {
-            self.response_ended_at.store(now, Ordering::Relaxed); // its client takes the end of the answer only now
+        if accepted && was_blocked {
+            self.response_ended_at.store(now, Ordering::Relaxed); // the client reads the end of the response only now
         }
     }
 
-    /// A whole head has come: a request is under way. Whether it is the first one.
+    /// Records that a complete request head has arrived. Returns whether it is the first one on the connection.
     pub fn request_started(&self) -> bool {
         self.request_active.store(true, Ordering::Relaxed);
         !self.had_request.swap(true, Ordering::Relaxed)
     }
 
-    /// Its body has come; what is heard from now on is the next one's.
+    /// Records that the request body has been read: bytes received from now on belong to the next request.
     pub fn request_read(&self) {
         self.head_started_at.store(0, Ordering::Relaxed);
     }
 
-    /// Whether bytes have come that no whole request accounts for: the next one's beginning.
+    /// Returns whether bytes of an incomplete next request have been received.
     pub fn has_partial_request(&self) -> bool {
         self.head_started_at.load(Ordering::Relaxed) > 0
     }
 
-    /// Its answer is out of the node's hands.
+    /// Records that the response has been handed to the connection in full, or was abandoned.
     pub fn response_ended(&self, now: Nanos) {
         self.response_ended_at.store(now, Ordering::Relaxed);
         self.request_active.store(false, Ordering::Relaxed);
     }
 
-    /// When to close it and why, if nothing more happens.
+    /// Returns when to close the connection if nothing more happens, and why.
     pub fn deadline(&self) -> (Nanos, CloseReason) {
-        let get = |at: &AtomicU64| at.load(Ordering::Relaxed);
-        let (moved, freed, head) =
-            (get(&self.last_byte_at), get(&self.response_ended_at), get(&self.head_started_at));
+        let load = |at: &AtomicU64| at.load(Ordering::Relaxed);
+        let (last_byte_at, response_ended_at, head_started_at) =
+            (load(&self.last_byte_at), load(&self.response_ended_at), load(&self.head_started_at));
         if self.request_active.load(Ordering::Relaxed) || self.write_blocked.load(Ordering::Relaxed) {
-            (moved + self.stall_timeout, CloseReason::Stalled)
+            (last_byte_at + self.stall_timeout, CloseReason::Stalled)
         } else if !self.had_request.load(Ordering::Relaxed) {
-            // From the connection on, or a peer could keep its slot by a late beginning.
-            (if head > 0 { HEAD_TIMEOUT } else { self.first_request_timeout }, CloseReason::NoRequest)
-        } else if head > 0 {
-            (head.max(freed) + HEAD_TIMEOUT, CloseReason::NoRequest)
+            // Counted from the accept, or a peer could hold its slot longer by beginning late.
+            (
+                if head_started_at > 0 { HEAD_TIMEOUT } else { self.first_request_timeout },
+                CloseReason::NoRequest,
+            )
+        } else if head_started_at > 0 {
+            (head_started_at.max(response_ended_at) + HEAD_TIMEOUT, CloseReason::NoRequest)
         } else {
-            (moved.max(freed) + IDLE_TIMEOUT, CloseReason::NoRequest)
+            (last_byte_at.max(response_ended_at) + IDLE_TIMEOUT, CloseReason::NoRequest)
         }
     }
 
-    /// How long to wait at most before asking again: nothing becomes due sooner than that after it has changed.
+    /// Returns the longest time to wait before calling [`Self::deadline`] again: no event brings the deadline closer
+    /// than this.
     pub fn poll_interval(&self) -> Nanos {
         self.first_request_timeout.min(IDLE_TIMEOUT)
     }
--- a/crates/node/src/driver/configuration.rs
+++ b/crates/node/src/driver/configuration.rs
@@ -1,10 +1,10 @@
-//! The versioned configuration on its way to the module.
+//! Applies revisions of the versioned configuration.
 
 use super::*;
 
 impl Driver {
-    /// Takes over a whole revision. Inputs are taken one at a time, so every request is decided on with all of the
-    /// revision before or all of this one.
+    /// Applies a whole revision. Inputs are handled one at a time, so the decision on each request uses either all of
+    /// the previous revision or all of this one.
     pub(super) fn apply_revision(&mut self, change: Change) {
         let Change { figures, open_requests, in_force } = change;
         self.limits.open_requests = open_requests;
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Brings events to the decision module and carries out its actions; keeps the table of requests.
+//! Passes events to the decision module, executes its actions, and keeps the state of all pending requests.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -39,25 +39,35 @@
 use pending_request::{AttemptRecord, PendingRequest};
 use stats::{AttemptStats, ListStatus, StreamedBodies};
 
-const RESPONSE_MARGIN: Nanos = 5_000_000; // before the client's time runs out, for the answer's way back
-const OVERDUE_GRACE: Nanos = 2_000_000; // after the module's time is over; within the margin
-const POOL_SWEEP_INTERVAL: Nanos = 1_000_000_000; // between looks at idle connections
+/// Time before the client's deadline by which the module must decide, so that the response can still arrive.
+const RESPONSE_MARGIN: Nanos = 5_000_000;
+/// Time after the module's deadline at which the driver fails an unanswered request; shorter than [`RESPONSE_MARGIN`].
+const OVERDUE_GRACE: Nanos = 2_000_000;
+const POOL_SWEEP_INTERVAL: Nanos = 1_000_000_000; // between checks of idle connections
 const MILLISECOND: Nanos = 1_000_000;
-const MAX_BATCH: usize = 256; // inputs taken at once
-const COMPANION_POLL_INTERVAL: Nanos = 100_000_000; // at what another process of this node has done; well under the drain rule's
-const REPORT_INTERVAL: Nanos = 5_000_000_000; // between log lines on answers and attempts
+const MAX_BATCH: usize = 256; // inputs received at once
+/// Interval between reads of what another process of this node has written; well below the time limit of a drain.
+const COMPANION_POLL_INTERVAL: Nanos = 100_000_000;
+const REPORT_INTERVAL: Nanos = 5_000_000_000; // between log lines on responses and attempts
 
+/// A task that is due at a certain time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum ScheduledTask {
+    /// Passes an expired timer to the module.
     ModuleTimer(u64),
+    /// Fails the request if it is still unanswered.
     RequestDeadline(RequestId),
+    /// Closes expired idle connections.
     PoolSweep,
+    /// Writes the log lines on responses and attempts.
     Report,
+    /// Updates the lifecycle of the node.
     Lifecycle,
+    /// Reads what another process of this node has written.
     CompanionPoll,
 }
 
-/// Owns the module and all that belongs to it.
+/// Owns the decision module and all state that it depends on.
 pub struct Driver {
     balancer: Balancer,
     names: Names,
@@ -67,10 +77,11 @@
     capacity: Capacity,
     inputs: UnboundedSender<Input>,
     peers: Option<Peers>,
-    fleet_snapshot: Option<Box<Snapshot>>, // as last told; none: its part has not begun, or the node belongs to none
+    /// The last view of the fleet; `None` if the node has no fleet, or its fleet component has not started.
+    fleet_snapshot: Option<Box<Snapshot>>,
     in_fleet: bool,
-    in_force: Arc<InForce>,    // of the versioned configuration
-    servers: Vec<Arc<Server>>, // by number
+    in_force: Arc<InForce>,    // revision of the versioned configuration
+    servers: Vec<Arc<Server>>, // by server id
     requests: HashMap<RequestId, PendingRequest>,
     schedule: BinaryHeap<Reverse<(Nanos, ScheduledTask)>>,
     events: VecDeque<Event>,
@@ -79,25 +90,27 @@
     attempt_stats: AttemptStats,
     lifecycle: Life,
     posture: watch::Sender<Posture>,
-    members: Vec<bool>, // by number: whether the list has the server
+    members: Vec<bool>, // by server id: whether the list has the server
     orders: Orders,
     shared: Option<Shared>,
-    has_polled: bool,  // at another process, at least once
-    poll_failed: bool, // the last look at another process
+    has_polled: bool,  // whether the state of another process has been read at least once
+    poll_failed: bool, // whether the last read of that state failed
     start_times: StartTimes,
     list_version: u64,
     list_received_at: Option<Nanos>, // when discovery last answered
-    has_list: bool, // there has been a list with a server in it, or discovery has said that there is none
+    /// Whether a saved list with a server, or any answer of discovery, has been received.
+    has_list: bool,
 }
 
 impl Driver {
+    /// Creates a driver without servers; [`Driver::run`] drives it.
     pub fn new(
         balancer: Balancer, names: Names, clock: Clock, limits: HostLimits, capacity: Capacity,
         inputs: UnboundedSender<Input>,
     ) -> Self {
-        let life = Life::new(limits.longest_deadline);
-        let figures = Metrics::new(&names.classes);
-        let (posture, _) = watch::channel(life.posture());
+        let lifecycle = Life::new(limits.longest_deadline);
+        let metrics = Metrics::new(&names.classes);
+        let (posture, _) = watch::channel(lifecycle.posture());
         Driver {
             balancer,
             names,
@@ -118,9 +131,9 @@
             ]),
             events: VecDeque::new(),
             actions: Vec::new(),
-            metrics: figures,
+            metrics,
             attempt_stats: AttemptStats::default(),
-            lifecycle: life,
+            lifecycle,
             posture,
             members: Vec::new(),
             orders: Orders::default(),
@@ -134,26 +147,28 @@
         }
     }
 
-    /// What the front is to follow.
+    /// Returns the posture that the front follows.
     pub fn posture(&self) -> watch::Receiver<Posture> {
         self.posture.subscribe()
     }
 
-    /// The socket for messages to peers.
+    /// Sets the socket for messages to peers.
     pub fn set_peers(&mut self, peers: Option<&Peers>) {
         self.peers = peers.cloned();
     }
 
-    /// The node belongs to a fleet, of which nothing is known yet.
+    /// Records that the node belongs to a fleet, although no view of it exists yet.
     pub fn set_in_fleet(&mut self) {
         self.in_fleet = true;
     }
 
+    /// Returns a sender of inputs to this driver.
     pub fn sender(&self) -> UnboundedSender<Input> {
         self.inputs.clone()
     }
 
-    /// The list as it was last held; the module's first event. Where lists are pushed the first one is awaited.
+    /// Loads the last known server list as the module's first event. If discovery pushes lists (`pushed`), the node
+    /// waits for the first one.
     pub fn load_known_list(&mut self, list: List, pushed: bool) {
         if pushed {
             self.lifecycle.await_list(self.clock.now());
@@ -162,15 +177,17 @@
         self.apply_list(ListKind::Persisted, list);
     }
 
+    /// Handles inputs and due tasks until all senders of inputs are dropped.
     pub async fn run(mut self, mut inputs: UnboundedReceiver<Input>) {
         let mut batch = Vec::with_capacity(MAX_BATCH);
         loop {
-            let next = self.schedule.peek().map_or(self.clock.now(), |Reverse((at, _))| *at);
-            if let Ok(0) = timeout_at(self.clock.instant(next), inputs.recv_many(&mut batch, MAX_BATCH)).await
+            let next_due = self.schedule.peek().map_or(self.clock.now(), |Reverse((at, _))| *at);
+            if let Ok(0) =
+                timeout_at(self.clock.instant(next_due), inputs.recv_many(&mut batch, MAX_BATCH)).await
             {
                 return;
             }
-            // A request is decided on with all the news that came in with it.
+            // The decision on a request uses all other inputs that arrived with it.
             batch.sort_by_key(|input| matches!(input, Input::Request(_)));
             batch.drain(..).for_each(|input| self.handle_input(input));
             self.run_due_tasks();
@@ -179,21 +196,21 @@
 
     fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Request(arrival) => self.receive_request(arrival),
-            Input::AttemptEnded { id, attempt, outcome: ended } => self.finish_attempt(id, attempt, *ended),
+            Input::Request(request) => self.receive_request(request),
+            Input::AttemptEnded { id, attempt, outcome } => self.finish_attempt(id, attempt, *outcome),
             Input::ClientLeft(id) => {
-                // What the module has ended by itself it need not hear of.
-                let open = self.requests.get_mut(&id);
-                if open.is_some_and(|open| open.finish(None, &mut self.metrics)) {
+                // The module is not notified of a request that it has ended itself.
+                let pending = self.requests.get_mut(&id);
+                if pending.is_some_and(|pending| pending.finish(None, &mut self.metrics)) {
                     self.handle_event(Event::Gone(id));
                 }
                 self.remove_if_finished(id);
             }
             Input::Uploaded(id) => self.handle_event(Event::Uploaded(id)),
             Input::ResponseEnded { id, end, connection } => {
-                if let Some(open) = self.requests.get_mut(&id) {
-                    open.response_ended(end, &mut self.metrics);
-                    let server = open.attempts.last().map(|out| out.server);
+                if let Some(pending) = self.requests.get_mut(&id) {
+                    pending.response_ended(end, &mut self.metrics);
+                    let server = pending.attempts.last().map(|attempt| attempt.server);
                     if let (Some(server), Some(connection)) = (server, connection.filter(|c| !c.is_closed()))
                     {
                         self.pool_connection(server, connection);
@@ -203,20 +220,20 @@
             }
             Input::LateConnection { server, connection } => self.pool_connection(server, connection),
             Input::List(list) => {
-                // One that names no change still says that discovery answers.
+                // A list without changes still shows that discovery answers.
                 let kind = if list.snapshot { ListKind::Complete } else { ListKind::Partial };
                 self.apply_list(kind, list);
                 self.lifecycle.listed();
                 self.update_lifecycle();
             }
             Input::Peer { from, bytes } => self.handle_event(Event::Peer { from, bytes }),
-            Input::Console { command: call, reply: said } => {
-                let answer = self.handle_command(call);
-                let _ = said.send(answer); // a caller that has left wants no answer
+            Input::Console { command, reply } => {
+                let result = self.handle_command(command);
+                let _ = reply.send(result); // the caller may have left
             }
-            Input::Configuration { change, applied: taken } => {
+            Input::Configuration { change, applied } => {
                 self.apply_revision(*change);
-                let _ = taken.send(()); // who waits for it is gone only when the process ends
+                let _ = applied.send(()); // the receiver is gone only when the process ends
             }
             Input::Fleet(fleet) => self.fleet_snapshot = Some(fleet),
             Input::Terminate => {
@@ -225,7 +242,7 @@
         }
     }
 
-    /// What has come due.
+    /// Runs the tasks that are due.
     fn run_due_tasks(&mut self) {
         let now = self.clock.now();
         while self.schedule.peek().is_some_and(|Reverse((at, _))| *at <= now) {
@@ -242,16 +259,13 @@
                     let age = self.list_received_at.map(|at| now - at);
                     let list = ListStatus { version: self.list_version, age, ready };
                     self.attempt_stats.report(&self.names, list, self.metrics.totals());
-                    let passing =
-                        self.requests.values().fold(StreamedBodies::default(), |sum, open| StreamedBodies {
-                            up: sum.up
-                                + usize::from(
-                                    open.request.upload().is_some_and(|u| u.completed_at().is_none()),
-                                ),
-                            down: sum.down + usize::from(open.is_streaming),
-                        });
-                    if passing.up + passing.down > 0 {
-                        info!(up = passing.up, down = passing.down, "long bodies");
+                    let mut streamed = StreamedBodies::default();
+                    for pending in self.requests.values() {
+                        streamed.up += usize::from(pending.is_uploading());
+                        streamed.down += usize::from(pending.is_streaming);
+                    }
+                    if streamed.up + streamed.down > 0 {
+                        info!(up = streamed.up, down = streamed.down, "streamed bodies in progress");
                     }
                     self.schedule.push(Reverse((now + REPORT_INTERVAL, ScheduledTask::Report)));
                 }
@@ -267,6 +281,7 @@
         }
     }
 
+    /// Passes an event to the module and executes its actions, and the events that these cause.
     fn handle_event(&mut self, event: Event) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
@@ -278,6 +293,7 @@
         }
     }
 
+    /// Executes an action of the module.
     fn execute(&mut self, now: Nanos, action: Action) {
         match action {
             Action::Send { id, server, timeout, within } => {
@@ -294,8 +310,10 @@
                     peers.tell(to, &bytes);
                 }
             }
-            Action::Watch => warn!("the list is followed without the module's asking"),
-            Action::Probe { server } => warn!(server = server.0, "probes are not carried out"),
+            Action::Watch => warn!("ignoring a watch action: the node follows the server list by itself"),
+            Action::Probe { server } => {
+                warn!(server = server.0, "ignoring a probe action: the node does not support probes")
+            }
         }
     }
 }
--- a/crates/node/src/driver/orders.rs
+++ b/crates/node/src/driver/orders.rs
@@ -1,10 +1,11 @@
-//! What operators and other processes of this node order, and the node's life.
+//! Orders from operators and from other processes of this node, and the lifecycle of the node.
 
 use super::*;
 
 impl Driver {
-    pub(super) fn handle_command(&mut self, call: ConsoleCommand) -> ConsoleReply {
-        match call {
+    /// Carries out a console command.
+    pub(super) fn handle_command(&mut self, command: ConsoleCommand) -> ConsoleReply {
+        match command {
             ConsoleCommand::Status if !self.lifecycle.posture().opens => {
                 ConsoleReply::Unavailable("the predecessor makes room".to_owned())
             }
@@ -35,9 +36,10 @@
         }
     }
 
-    /// Takes a server out, or puts it back. One that the list has lost may still be meant: it may come again.
+    /// Puts a server into maintenance, or takes it back into service. Accepts a server in maintenance that is no longer
+    /// in the list, since it may return.
     pub(super) fn set_maintenance(&mut self, member: &str, out: bool) -> ConsoleReply {
-        self.poll_companion(); // or an order that the other process has written just now would be written over
+        self.poll_companion(); // otherwise an order just written by the other process would be overwritten
         let mut orders = self.orders.clone();
         if self.names.servers.get(member).is_none() && !orders.out.contains(member) {
             return ConsoleReply::NotFound(format!("no guide server {member:.100}"));
@@ -56,7 +58,7 @@
         ConsoleReply::Ok(format!("{member} {}\n", if out { "out" } else { "back" }))
     }
 
-    /// Shares with the other processes of this node from now on, and takes over what one before has left.
+    /// Shares state with other processes of this node from now on, and takes over the state of an earlier process.
     pub fn share_state(&mut self, shared: Shared) {
         self.shared = Some(shared);
         self.poll_companion();
@@ -64,117 +66,118 @@
             .push(Reverse((self.clock.now() + COMPANION_POLL_INTERVAL, ScheduledTask::CompanionPoll)));
     }
 
-    /// Looks what another process of this node has done.
+    /// Reads what another process of this node has written, and acts on it.
     pub(super) fn poll_companion(&mut self) {
         let Some(shared) = &mut self.shared else { return };
-        let had = shared.has_companion();
+        let had_companion = shared.has_companion();
         if let Err(error) = shared.look() {
             if !std::mem::replace(&mut self.poll_failed, true) {
-                warn!(%error, "another process of this node would not be noticed: tried again at each look");
+                warn!(%error, "cannot read the state of other processes of this node; retrying");
             }
             return;
         }
         self.poll_failed = false;
-        let has = shared.has_companion();
-        if has != had {
-            self.capacity.resize(has);
+        let has_companion = shared.has_companion();
+        if has_companion != had_companion {
+            self.capacity.resize(has_companion);
         }
         if !std::mem::replace(&mut self.has_polled, true) {
-            self.inherit_orders(has);
+            self.inherit_orders(has_companion);
         }
-        self.share_capacity(has);
+        self.share_capacity(has_companion);
         self.read_orders();
         self.update_lifecycle();
     }
 
-    /// Takes over what an earlier process has left, at the first look that succeeds.
-    fn inherit_orders(&mut self, companion: bool) {
-        if companion {
+    /// Takes over the orders of an earlier process, at the first successful poll.
+    fn inherit_orders(&mut self, has_companion: bool) {
+        if has_companion {
             self.lifecycle.wait(self.clock.now());
         }
-        let told = self.orders.clone();
+        let earlier = self.orders.clone();
         if let Some(mut orders) = self.shared.as_mut().and_then(Shared::changed) {
-            info!(?orders, companion, "orders of an earlier process");
-            orders.standby &= companion; // nobody knows of a drain before a crash any more
-            orders.follow(&told);
+            info!(?orders, companion = has_companion, "loaded the orders of an earlier process");
+            orders.standby &= has_companion; // a drain from before a crash no longer applies
+            orders.follow(&earlier);
             self.apply_orders(orders);
         }
-        if told != Orders::default() {
+        if earlier != Orders::default() {
             self.publish_orders();
         }
     }
 
-    /// Opens and makes room by how much the other process keeps.
-    fn share_capacity(&mut self, companion: bool) {
+    /// Releases capacity for the other process, and opens the node as far as the other process has released its own.
+    fn share_capacity(&mut self, has_companion: bool) {
         let Some(shared) = &mut self.shared else { return };
-        if !self.capacity.settle() {
+        if !self.capacity.reclaim() {
             self.pool.shrink();
-            self.lifecycle.retire(); // a client that asks again is served by the other process
+            self.lifecycle.retire(); // a client that reconnects is served by the other process
         }
-        if !companion {
+        if !has_companion {
             self.lifecycle.open();
         } else if shared.is_first() {
             if let Err(error) = shared.keep(self.capacity.allocation()) {
-                warn!(%error, "a successor does not hear how much room there is");
+                warn!(%error, "cannot tell the successor process how much capacity is free");
             }
         } else if !shared.has_place() {
-            self.lifecycle.wait(self.clock.now()); // a third process, for which there is no room
+            self.lifecycle.wait(self.clock.now()); // a third process, for which there is no capacity
         } else if shared.kept().is_some_and(|kept| self.capacity.fit_beside(kept)) {
             self.lifecycle.open();
         }
     }
 
+    /// Applies orders that another process has written.
     fn read_orders(&mut self) {
         let Some(shared) = &mut self.shared else { return };
         shared.write_again();
         if let Some(orders) = shared.changed() {
-            info!(?orders, "orders from another process");
+            info!(?orders, "received orders from another process");
             self.apply_orders(orders);
         }
     }
 
-    /// Carries out what differs from the orders so far.
+    /// Replaces the orders and carries out the differences.
     pub(super) fn apply_orders(&mut self, orders: Orders) {
-        let was = std::mem::replace(&mut self.orders, orders);
+        let previous = std::mem::replace(&mut self.orders, orders);
         let now = self.clock.now();
-        let gone_out: Vec<String> = self.orders.out.difference(&was.out).cloned().collect();
-        let put_back = self.orders.back.iter().filter(|(name, at)| was.back.get(*name) != Some(at));
-        let put_back: Vec<String> = put_back.map(|(name, _)| name.clone()).collect();
-        for name in gone_out.iter().chain(&put_back) {
+        let put_into_maintenance: Vec<String> = self.orders.out.difference(&previous.out).cloned().collect();
+        let taken_back = self.orders.back.iter().filter(|(name, at)| previous.back.get(*name) != Some(at));
+        let taken_back: Vec<String> = taken_back.map(|(name, _)| name.clone()).collect();
+        for name in put_into_maintenance.iter().chain(&taken_back) {
             if let Some(number) = self.names.servers.get(name) {
                 let server = ServerId(number as u32);
                 self.notify_maintenance(server);
                 self.update_readiness(server, now);
             }
         }
-        if self.orders.standby != was.standby {
+        if self.orders.standby != previous.standby {
             self.apply_order(if self.orders.standby { Order::Standby } else { Order::Active });
         }
     }
 
-    /// Tells the module what is ordered about a server.
+    /// Reports the maintenance order for a server, if any, to the module.
     pub(super) fn notify_maintenance(&mut self, server: ServerId) {
         let name = self.names.servers.name(server.0 as usize);
         let out = self.orders.out.contains(name);
         let back = self.orders.back.get(name).copied();
         if out || back.is_some() {
             let now = self.clock.now();
-            let since = back.map_or(now, |at| at.min(now)); // the other process may have had another clock
+            let since = back.map_or(now, |at| at.min(now)); // the clock of the other process may be ahead
             self.handle_event(Event::Maintenance { server, out, since });
         }
     }
 
-    /// Lets other processes of this node know of the orders.
+    /// Writes the orders for other processes of this node.
     pub(super) fn publish_orders(&mut self) {
         if !self.has_polled {
-            return; // what an earlier process has left is still to be read, and would be written over
+            return; // the orders of an earlier process are not read yet and would be overwritten
         }
         if let Some(shared) = &mut self.shared {
             shared.write(&self.orders);
         }
     }
 
-    /// Drains, or ends that.
+    /// Drains the node, or makes it active again.
     pub(super) fn set_standby(&mut self, standby: bool) -> ConsoleReply {
         self.poll_companion();
         let orders = Orders { standby, ..self.orders.clone() };
@@ -186,15 +189,15 @@
         ConsoleReply::Ok(format!("{}\n", self.lifecycle.name()))
     }
 
-    /// Carries an order out, if that can still be done.
+    /// Applies an order to the lifecycle. Returns whether the lifecycle allows it.
     pub(super) fn apply_order(&mut self, order: Order) -> bool {
         let done = self.lifecycle.order(self.clock.now(), order);
-        info!(?order, done, state = self.lifecycle.name(), "order");
+        info!(?order, done, state = self.lifecycle.name(), "order received");
         self.update_lifecycle();
         done
     }
 
-    /// Lets the front know what the node's life asks for, and sees to it when that changes next.
+    /// Advances the lifecycle, publishes its posture for the front, and schedules its next change.
     pub(super) fn update_lifecycle(&mut self) {
         self.lifecycle.tick(self.clock.now());
         let posture = self.lifecycle.posture();
--- a/crates/node/src/driver/pending_request.rs
+++ b/crates/node/src/driver/pending_request.rs
@@ -1,31 +1,33 @@
-//! A request from its arrival to the end of its last attempt.
+//! The state of a request from its arrival to the end of its last attempt.
 
 use super::*;
 
-/// A request in the table: until it is answered and its last attempt has ended.
+/// A request that is not answered yet or has attempts that have not ended.
 pub(super) struct PendingRequest {
     pub(super) class: usize,
-    pub(super) reply_sender: Option<oneshot::Sender<Reply>>, // none once the final answer is given or nobody waits for it
+    pub(super) reply_sender: Option<oneshot::Sender<Reply>>, // `None` once answered or abandoned
     pub(super) request: Arc<UpstreamRequest>,
     pub(super) deadline: Nanos,
     pub(super) attempts: Vec<AttemptRecord>,
-    pub(super) is_streaming: bool, // a long answer is on its way
+    pub(super) is_streaming: bool, // a streamed response is in progress
 }
 
+/// One attempt of a request.
 pub(super) struct AttemptRecord {
     pub(super) server: ServerId,
     pub(super) started: Nanos,
-    pub(super) task: Option<AbortHandle>, // none once it has had its outcome
+    pub(super) task: Option<AbortHandle>, // `None` once its outcome is reported
 }
 
 impl PendingRequest {
-    /// The only place where a request ends: it is answered, or without a reply its client has left. Only the
-    /// first end counts, in the figures too; true if this was it.
+    /// Ends the request with a reply, or without one because its client has left. This is the only place where a
+    /// request ends. Only the first call has an effect and is counted; returns whether this was it.
     pub(super) fn finish(&mut self, reply: Option<Reply>, metrics: &mut Metrics) -> bool {
         let Some(client) = self.reply_sender.take() else { return false };
         self.request.cancellation.cancel();
         let end = match &reply {
-            Some(Reply::Served(ServerResponse { body: ServerResponseBody::Streamed(_), .. })) => None, // with its last byte
+            // A streamed response ends with its last byte.
+            Some(Reply::Served(ServerResponse { body: ServerResponseBody::Streamed(_), .. })) => None,
             Some(Reply::Served(_)) => Some(RequestEnd::Completed),
             Some(Reply::Refused { .. }) => Some(RequestEnd::Rejected),
             Some(Reply::Failed | Reply::Stalled) => Some(RequestEnd::Failed),
@@ -36,21 +38,27 @@
             None => self.is_streaming = true,
         }
         if let Some(reply) = reply {
-            let _ = client.send(reply); // a client that left just now counts as answered
+            let _ = client.send(reply); // a client that has just left counts as answered
         }
         true
     }
 
-    /// A long answer has ended, which ends its request.
+    /// Counts the end of a streamed response, which ends its request.
     pub(super) fn response_ended(&mut self, end: RequestEnd, metrics: &mut Metrics) {
         if std::mem::take(&mut self.is_streaming) {
             metrics.request_ended(self.class, end);
         }
     }
 
+    /// Returns whether a streamed request body is still being received.
+    pub(super) fn is_uploading(&self) -> bool {
+        self.request.upload().is_some_and(|upload| upload.completed_at().is_none())
+    }
+
+    /// Returns whether the request is answered and no attempt or response is in progress.
     pub(super) fn is_finished(&self) -> bool {
         self.reply_sender.is_none()
             && !self.is_streaming
-            && self.attempts.iter().all(|out| out.task.is_none())
+            && self.attempts.iter().all(|attempt| attempt.task.is_none())
     }
 }
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -1,9 +1,10 @@
-//! Requests and their attempts, from the arrival to the last end.
+//! Handles requests and their attempts, from the arrival to the end of the last attempt.
 
 use super::*;
 
 impl Driver {
-    pub(super) fn receive_request(&mut self, arrival: ClientRequest) {
+    /// Registers a request and passes it to the module; refuses it if too many are open.
+    pub(super) fn receive_request(&mut self, client_request: ClientRequest) {
         let ClientRequest {
             id,
             class,
@@ -11,38 +12,38 @@
             key,
             cost_hint,
             repeat,
-            client_deadline: expires,
-            outgoing,
+            client_deadline,
+            upstream_request,
             client,
-        } = arrival;
+        } = client_request;
         let now = self.clock.now();
         let tenant = tenant.and_then(|named| self.in_force.tenant(named));
-        let deadline = expires.saturating_sub(RESPONSE_MARGIN).max(now);
+        let deadline = client_deadline.saturating_sub(RESPONSE_MARGIN).max(now);
         debug!(
             request = id.0,
-            txn = outgoing.txn(),
+            txn = upstream_request.txn(),
             class,
             left_ms = (deadline - now) / MILLISECOND,
-            "request"
+            "request received"
         );
         self.metrics.request_received(class);
-        let long = outgoing.upload().is_some();
+        let is_streamed = upstream_request.upload().is_some();
         let attempts = Vec::new();
-        let mut open = PendingRequest {
+        let mut pending = PendingRequest {
             class,
             reply_sender: Some(client),
-            request: outgoing,
+            request: upstream_request,
             deadline,
             attempts,
             is_streaming: false,
         };
         if self.requests.len() >= self.limits.open_requests {
-            open.finish(Some(Reply::Refused { retry_after: 0 }), &mut self.metrics);
+            pending.finish(Some(Reply::Refused { retry_after: 0 }), &mut self.metrics);
             return;
         }
-        self.requests.insert(id, open);
-        if !long {
-            // A long one has its time from its last byte on: its attempt sees to that.
+        self.requests.insert(id, pending);
+        if !is_streamed {
+            // The deadline of a streamed request counts from its last byte, and its attempt enforces it.
             self.schedule.push(Reverse((deadline + OVERDUE_GRACE, ScheduledTask::RequestDeadline(id))));
         }
         let budget = deadline - now;
@@ -54,104 +55,109 @@
             budget,
             cost_hint,
             repeat,
-            long,
+            long: is_streamed,
         }));
         self.remove_if_finished(id);
     }
 
-    pub(super) fn finish_attempt(&mut self, id: RequestId, attempt: u32, ended: AttemptOutcome) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(out) = open.attempts.get_mut(attempt as usize) else { return };
-        if out.task.take().is_none() {
-            return; // it was called off meanwhile and has had its outcome
+    /// Records the outcome of an attempt, replies to the client if it decides the request, and reports it to the
+    /// module.
+    pub(super) fn finish_attempt(&mut self, id: RequestId, attempt: u32, outcome: AttemptOutcome) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(record) = pending.attempts.get_mut(attempt as usize) else { return };
+        if record.task.take().is_none() {
+            return; // it was cancelled meanwhile and its outcome is reported
         }
-        let (server, sent) = (out.server, out.started);
-        if let Some(mut answer) = ended.response {
-            if let ServerResponseBody::Streamed(relay) = &mut answer.body {
+        let (server, sent) = (record.server, record.started);
+        if let Some(mut response) = outcome.response {
+            if let ServerResponseBody::Streamed(relay) = &mut response.body {
                 let inputs = self.inputs.clone();
                 relay.on_end(move |end, connection| {
                     let _ = inputs.send(Input::ResponseEnded { id, end, connection });
                 });
             }
-            open.finish(Some(Reply::Served(answer)), &mut self.metrics);
-        } else if let Some(upload) = open.request.upload().filter(|upload| upload.is_consumed()) {
-            // Nobody can try again with what is gone.
-            let reply = match ended.status {
+            pending.finish(Some(Reply::Served(response)), &mut self.metrics);
+        } else if let Some(upload) = pending.request.upload().filter(|upload| upload.is_consumed()) {
+            // The consumed part of the body cannot be sent again, so this attempt was the last.
+            let reply = match outcome.status {
                 _ if upload.is_stalled() => Reply::Stalled,
                 status if status.never_ran() => Reply::Refused { retry_after: 0 },
                 _ => Reply::Failed,
             };
-            open.finish(Some(reply), &mut self.metrics);
+            pending.finish(Some(reply), &mut self.metrics);
         }
-        let terminal = open.reply_sender.is_none();
-        if let Some(connection) = ended.connection {
+        let terminal = pending.reply_sender.is_none();
+        if let Some(connection) = outcome.connection {
             self.pool_connection(server, connection);
         }
-        if let Some(opening) = ended.pending_connection {
+        if let Some(pending_connection) = outcome.pending_connection {
             let inputs = self.inputs.clone();
-            self.pool.await_pending(opening, move |connection| {
+            self.pool.await_pending(pending_connection, move |connection| {
                 let _ = inputs.send(Input::LateConnection { server, connection });
-                // closed if nobody is left
+                // dropping it closes the connection if the driver has stopped
             });
         }
-        let latency = self.clock.now() - ended.sent_at.unwrap_or(sent).max(sent);
+        let latency = self.clock.now() - outcome.sent_at.unwrap_or(sent).max(sent);
         let name = self.names.servers.name(server.0 as usize);
-        debug!(request = id.0, attempt, server = name, status = ?ended.status, "attempt ended");
-        self.attempt_stats.record(server, ended.status, latency);
-        let (status, report) = (ended.status, ended.report);
+        debug!(request = id.0, attempt, server = name, status = ?outcome.status, "attempt ended");
+        self.attempt_stats.record(server, outcome.status, latency);
+        let (status, report) = (outcome.status, outcome.report);
         self.handle_event(Event::Outcome { id, attempt, server, status, latency, terminal, report });
         self.remove_if_finished(id);
     }
 
-    /// Keeps a connection for the next attempt there, if there may be one.
+    /// Returns a connection to the pool if its server still accepts work.
     pub(super) fn pool_connection(&mut self, server: ServerId, connection: Connection) {
         if self.servers[server.0 as usize].accepts_sends(self.clock.now()) {
             self.pool.put(server, connection);
         }
     }
 
+    /// Forgets a request that is answered and has no attempt left.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(PendingRequest::is_finished) {
             self.requests.remove(&id);
         }
     }
 
-    /// Fails what the module has left unanswered, rather than let its client wait in vain.
+    /// Fails a request that the module has not answered by its deadline.
     pub(super) fn fail_overdue(&mut self, id: RequestId) {
-        let open = self.requests.get_mut(&id);
-        if open.is_some_and(|open| open.finish(Some(Reply::Failed), &mut self.metrics)) {
-            warn!(id = id.0, "unanswered at its deadline");
+        let pending = self.requests.get_mut(&id);
+        if pending.is_some_and(|pending| pending.finish(Some(Reply::Failed), &mut self.metrics)) {
+            warn!(id = id.0, "request unanswered at its deadline; replying with a failure");
             self.handle_event(Event::Gone(id));
             self.remove_if_finished(id);
         }
     }
 
+    /// Replies to the client as the module decided.
     pub(super) fn reply(&mut self, id: RequestId, reply: Reply) {
-        debug!(request = id.0, ?reply, "answered by the module's decision");
-        if let Some(open) = self.requests.get_mut(&id) {
-            open.finish(Some(reply), &mut self.metrics);
+        debug!(request = id.0, ?reply, "request refused or failed by the module");
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.finish(Some(reply), &mut self.metrics);
         }
         self.remove_if_finished(id);
     }
 
+    /// Starts an attempt. Without a free connection the attempt ends at once with [`Status::Moot`].
     pub(super) fn start_attempt(
-        &mut self, now: Nanos, id: RequestId, to: ServerId, timeout: Nanos, within: Option<Nanos>,
+        &mut self, now: Nanos, id: RequestId, server_id: ServerId, timeout: Nanos, within: Option<Nanos>,
     ) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let attempt = open.attempts.len() as u32;
-        let name = self.names.servers.name(to.0 as usize);
-        debug!(request = id.0, attempt, server = name, list = self.list_version, "attempt");
-        let server = &self.servers[to.0 as usize];
-        let over = open.request.cancellation.is_cancelled();
-        let way = if over { None } else { self.pool.acquire(to, server.address) };
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let attempt = pending.attempts.len() as u32;
+        let name = self.names.servers.name(server_id.0 as usize);
+        debug!(request = id.0, attempt, server = name, list = self.list_version, "attempt started");
+        let server = &self.servers[server_id.0 as usize];
+        let is_cancelled = pending.request.cancellation.is_cancelled();
+        let source = if is_cancelled { None } else { self.pool.acquire(server_id, server.address) };
         self.attempt_stats.sent += 1;
-        let task = way.map(|way| {
-            let wait = if timeout > 0 { timeout } else { Nanos::MAX };
-            let run = Attempt {
+        let task = source.map(|source| {
+            let response_timeout = if timeout > 0 { timeout } else { Nanos::MAX };
+            let attempt_task = Attempt {
                 server: server.clone(),
-                request: open.request.clone(),
-                response_timeout: wait,
-                deadline: open.deadline,
+                request: pending.request.clone(),
+                response_timeout,
+                deadline: pending.deadline,
                 started: now,
                 write_by: within.map_or(Nanos::MAX, |within| now.saturating_add(within)),
                 buffer_budget: BufferBudget(self.capacity.bodies.clone()),
@@ -160,7 +166,7 @@
                 sent_attempts: self.metrics.sent_attempts(),
             };
             let inputs = self.inputs.clone();
-            let uploaded = run.request.upload().cloned().map(|upload| (upload, inputs.clone()));
+            let uploaded = attempt_task.request.upload().cloned().map(|upload| (upload, inputs.clone()));
             let task = tokio::spawn(async move {
                 let uploaded = async {
                     if let Some((upload, inputs)) = uploaded {
@@ -169,32 +175,34 @@
                     }
                     std::future::pending().await
                 };
-                let ended = tokio::select! {
-                    ended = run.run(way) => ended,
-                    ended = uploaded => ended,
+                let outcome = tokio::select! {
+                    outcome = attempt_task.run(source) => outcome,
+                    outcome = uploaded => outcome,
                 };
-                let _ = inputs.send(Input::AttemptEnded { id, attempt, outcome: Box::new(ended) });
+                let _ = inputs.send(Input::AttemptEnded { id, attempt, outcome: Box::new(outcome) });
             });
             task.abort_handle()
         });
         if task.is_none() {
-            self.attempt_stats.record(to, Status::Moot, 0);
-            // No connection is to be had on this side, which says nothing of the server.
-            let (status, terminal) = (Status::Moot, open.reply_sender.is_none());
+            self.attempt_stats.record(server_id, Status::Moot, 0);
+            // The lack of a connection on this side says nothing about the server.
+            let (status, terminal) = (Status::Moot, pending.reply_sender.is_none());
             let outcome =
-                Event::Outcome { id, attempt, server: to, status, latency: 0, terminal, report: None };
+                Event::Outcome { id, attempt, server: server_id, status, latency: 0, terminal, report: None };
             self.events.push_back(outcome);
         }
-        open.attempts.push(AttemptRecord { server: to, started: now, task });
+        pending.attempts.push(AttemptRecord { server: server_id, started: now, task });
     }
 
+    /// Cancels an attempt and reports that outcome to the module.
     pub(super) fn cancel_attempt(&mut self, now: Nanos, id: RequestId, attempt: u32) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(out) = open.attempts.get_mut(attempt as usize) else { return };
-        let Some(task) = out.task.take() else { return };
-        debug!(request = id.0, attempt, "attempt called off");
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(record) = pending.attempts.get_mut(attempt as usize) else { return };
+        let Some(task) = record.task.take() else { return };
+        debug!(request = id.0, attempt, "attempt cancelled");
         task.abort();
-        let (server, latency, terminal) = (out.server, now - out.started, open.reply_sender.is_none());
+        let (server, latency, terminal) =
+            (record.server, now - record.started, pending.reply_sender.is_none());
         let status = Status::Cancelled;
         self.attempt_stats.record(server, status, latency);
         self.events.push_back(Event::Outcome {
--- a/crates/node/src/driver/stats.rs
+++ b/crates/node/src/driver/stats.rs
@@ -1,26 +1,26 @@
-//! What became of attempts, for the log.
+//! Statistics of attempts, for the log.
 
 use super::*;
 
-/// What became of attempts since the last log line, and the counts of requests as of then.
+/// Outcomes of attempts since the last log line, and the request totals at that time.
 #[derive(Default)]
 pub(super) struct AttemptStats {
     pub(super) requests: Totals,
     pub(super) sent: u64,
-    pub(super) by_status: [u64; 8], // of attempts, by status
-    pub(super) slowest: Nanos,      // answer of a server
-    pub(super) failed_by_server: HashMap<ServerId, u64>, // attempts that failed, by server
+    pub(super) by_status: [u64; 8], // number of attempts, indexed by status
+    pub(super) slowest: Nanos,      // latency of the slowest successful attempt
+    pub(super) failed_by_server: HashMap<ServerId, u64>, // failed attempts by server
 }
 
-/// The server list, as of now.
+/// The state of the server list.
 #[derive(Clone, Copy)]
 pub(super) struct ListStatus {
     pub(super) version: u64,
-    pub(super) age: Option<Nanos>, // since discovery last answered; none: never
-    pub(super) ready: usize,       // servers
+    pub(super) age: Option<Nanos>, // since discovery last answered; `None`: never
+    pub(super) ready: usize,       // servers that accept work
 }
 
-/// Long bodies that are on their way.
+/// Numbers of streamed bodies in progress.
 #[derive(Default)]
 pub(super) struct StreamedBodies {
     pub(super) up: usize,
@@ -28,6 +28,7 @@
 }
 
 impl AttemptStats {
+    /// Counts the outcome of an attempt.
     pub(super) fn record(&mut self, server: ServerId, status: Status, latency: Nanos) {
         self.by_status[status as usize] += 1;
         match status {
@@ -37,36 +38,36 @@
         }
     }
 
-    /// Writes a line if anything went other than well, and starts anew.
+    /// Writes the log lines if any request or attempt did not succeed, and resets the statistics.
     pub(super) fn report(&mut self, names: &Names, list: ListStatus, totals: Totals) {
-        let anew = AttemptStats { requests: totals, ..AttemptStats::default() };
-        let AttemptStats { requests, sent, by_status: endings, slowest, failed_by_server: bad } =
-            std::mem::replace(self, anew);
+        let next = AttemptStats { requests: totals, ..AttemptStats::default() };
+        let AttemptStats { requests, sent, by_status, slowest, failed_by_server } =
+            std::mem::replace(self, next);
         let since = totals.since(&requests);
         let (requests, served, refused) =
             (since.received, since.ended_as(RequestEnd::Completed), since.ended_as(RequestEnd::Rejected));
         let (failed, left) = (since.ended_as(RequestEnd::Failed), since.ended_as(RequestEnd::ClientLeft));
-        if refused + failed + left + bad.len() as u64 == 0 {
+        if refused + failed + left + failed_by_server.len() as u64 == 0 {
             return;
         }
-        let of = |status: Status| endings[status as usize];
-        let worst = bad.iter().max_by_key(|(id, &count)| (count, Reverse(**id)));
+        let count = |status: Status| by_status[status as usize];
+        let worst = failed_by_server.iter().max_by_key(|(id, &count)| (count, Reverse(**id)));
         let worst = worst.map(|(id, count)| format!("{}:{count}", names.servers.name(id.0 as usize)));
         let ListStatus { version, age, ready } = list;
         let list_age_ms = age.map(|age| age / MILLISECOND);
         info!(requests, served, refused, failed, left, ready, list = version, list_age_ms, "answers");
         info!(
             sent,
-            ok = of(Status::Ok),
+            ok = count(Status::Ok),
             slowest_ms = slowest / 1_000_000,
-            error = of(Status::Error),
-            full = of(Status::Full),
-            timeout = of(Status::Timeout),
-            unconnected = of(Status::ConnectFailed),
-            reset = of(Status::Reset),
-            cancelled = of(Status::Cancelled),
-            moot = of(Status::Moot),
-            bad_servers = bad.len(),
+            error = count(Status::Error),
+            full = count(Status::Full),
+            timeout = count(Status::Timeout),
+            unconnected = count(Status::ConnectFailed),
+            reset = count(Status::Reset),
+            cancelled = count(Status::Cancelled),
+            moot = count(Status::Moot),
+            bad_servers = failed_by_server.len(),
             worst = worst.unwrap_or_default(),
             "attempts"
         );
--- a/crates/node/src/front/accept.rs
+++ b/crates/node/src/front/accept.rs
@@ -1,52 +1,58 @@
-//! Connections from the kernel: taking them, and seeing that their last answers are read.
+//! Accepts client connections, and closes them so that clients can read their last responses.
 
 use super::*;
 
-/// After the write side has ended, for what a client has sent before it saw that: a close over unread bytes resets
-/// the connection, and with it the end of an answer that the client has not read yet.
+/// Time to read on after the write side is shut down, until the client closes. Closing a socket with unread bytes
+/// resets the connection, and the client could lose the end of a response.
 const LINGER: Duration = Duration::from_secs(1);
-const LINGER_WHEN_FULL: Duration = Duration::from_millis(100); // the same while others wait for the slot
-/// After a failed accept, so as not to spin.
+const LINGER_WHEN_FULL: Duration = Duration::from_millis(100); // the same while other clients wait for a slot
+/// Delay after a failed accept, which keeps a repeated error from spinning.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 impl Front {
-    pub(super) async fn accept(self: &Arc<Self>, listener: &TcpListener, closing: &watch::Receiver<bool>) {
+    /// Waits for a free slot and accepts one connection.
+    pub(super) async fn accept(
+        self: &Arc<Self>, listener: &TcpListener, close_requested: &watch::Receiver<bool>,
+    ) {
         if self.capacity.clients.free() == 0 {
             increment(&self.stats.full);
         }
+        // Above the target, released slots belong to the other process of this node.
         while !self.capacity.clients.reclaim() {
-            sleep(ACCEPT_RETRY_DELAY).await; // what is given back is for the process beside this one
+            sleep(ACCEPT_RETRY_DELAY).await;
         }
         let slot = self.capacity.clients.acquire().await;
         match listener.accept().await {
-            Ok((stream, _)) => self.spawn_connection(stream, slot, closing),
+            Ok((stream, _)) => self.spawn_connection(stream, slot, close_requested),
             Err(error) => {
-                warn!(%error, "accept"); // short of descriptors, or the client has left again
+                warn!(%error, "accept failed; retrying"); // out of descriptors, or the client has already left
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 
+    /// Serves a connection in a task of its own, which holds the slot until the connection is closed.
     fn spawn_connection(
-        self: &Arc<Self>, stream: TcpStream, slot: OwnedSemaphorePermit, closing: &watch::Receiver<bool>,
+        self: &Arc<Self>, stream: TcpStream, slot: OwnedSemaphorePermit,
+        close_requested: &watch::Receiver<bool>,
     ) {
         increment(&self.stats.accepted);
-        // An error: it has ended, which its first read shows, or it is served with delays all the same.
+        // On an error the connection has either ended, which its first read reports, or is served with delays.
         let _ = stream.set_nodelay(true);
-        let (front, stream, closing) = (self.clone(), Arc::new(stream), closing.clone());
+        let (front, stream, close_requested) = (self.clone(), Arc::new(stream), close_requested.clone());
         tokio::spawn(async move {
-            front.serve_connection(SharedStream(stream.clone()), Some(stream.clone()), closing).await;
-            let _ = SockRef::from(&*stream).shutdown(Shutdown::Write); // an error: it has ended already
+            front.serve_connection(SharedStream(stream.clone()), Some(stream.clone()), close_requested).await;
+            let _ = SockRef::from(&*stream).shutdown(Shutdown::Write); // an error means that it has already ended
             let linger = if front.capacity.clients.free() == 0 { LINGER_WHEN_FULL } else { LINGER };
             let _ = timeout(linger, read_until_closed(&stream)).await;
             drop(slot);
         });
     }
 
-    /// Takes all that the kernel has accepted, which counts as taken, and closes the listener in the moment in
-    /// which nothing is left: whatever came between the two would be reset.
+    /// Accepts all connections that the kernel has queued, which clients take for accepted, and closes the listener as
+    /// soon as the queue is empty: a connection that arrives between the two would be reset.
     pub(super) async fn drain_backlog(
-        self: &Arc<Self>, listener: TcpListener, closing: &watch::Receiver<bool>,
+        self: &Arc<Self>, listener: TcpListener, close_requested: &watch::Receiver<bool>,
     ) {
         let Ok(listener) = listener.into_std() else { return };
         loop {
@@ -55,13 +61,13 @@
                 Ok(stream) => {
                     let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
                     if let Ok(stream) = stream {
-                        self.spawn_connection(stream, slot, closing);
+                        self.spawn_connection(stream, slot, close_requested);
                     }
                 }
                 Err(error) if matches!(error.kind(), ConnectionAborted | Interrupted) => {}
-                Err(error) if error.kind() == WouldBlock => return, // nothing is left
+                Err(error) if error.kind() == WouldBlock => return, // the queue is empty
                 Err(error) => {
-                    warn!(%error, "accept while leaving: tried again until the end");
+                    warn!(%error, "accept failed while draining the backlog; retrying");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -69,7 +75,7 @@
     }
 }
 
-/// Reads what a client still sends, until it has seen that there is nothing more to say and closes.
+/// Reads and discards what the client still sends, until it closes the connection.
 async fn read_until_closed(stream: &TcpStream) {
     let mut buffer = [0; 4096];
     while stream.readable().await.is_ok() {
--- a/crates/node/src/front/active_request.rs
+++ b/crates/node/src/front/active_request.rs
@@ -1,36 +1,39 @@
-//! A request that waits for its answer, and its client's leaving.
+//! A request in progress, and detection of a client that disconnects before its response.
 
 use super::*;
 
-/// Between looks at a client that has sent more than its request: hyper does not read on then, and would not see it
-/// leave. An attempt must not begin 100 ms after that.
+/// Interval between checks of a client that has sent more than its request: hyper stops reading then, and would not
+/// notice a disconnect. No attempt may begin later than 100 ms after a disconnect.
 pub(super) const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A request from its head to the end of its answer.
+/// A request from its head to the end of its response.
 pub(super) struct ActiveRequest {
     pub(super) timeouts: Arc<ConnectionTimeouts>,
+    /// When the connection was accepted.
     pub(super) accepted_at: Instant,
+    /// Set where a disconnect has to be detected on the socket itself.
     pub(super) client_socket: Option<Arc<TcpStream>>,
 }
 
 impl ActiveRequest {
-    /// Waits until the client has left behind more bytes than its request; without such hyper sees it itself.
+    /// Waits until the client has disconnected while bytes beyond its request are unread; without such bytes hyper
+    /// notices a disconnect itself.
     pub(super) async fn wait_for_disconnect(&self) {
-        let Some(peer) = &self.client_socket else { return pending().await };
+        let Some(client_socket) = &self.client_socket else { return pending().await };
         loop {
             sleep(DISCONNECT_POLL_INTERVAL).await;
-            if has_disconnected(peer).await {
+            if has_disconnected(client_socket).await {
                 return;
             }
         }
     }
 }
 
-/// Whether the other side has ended its writing, as the kernel tells it beside what is still to be read.
-pub(super) async fn has_disconnected(peer: &TcpStream) -> bool {
+/// Returns whether the peer has closed its write side, which the kernel reports even while bytes are still unread.
+pub(super) async fn has_disconnected(client_socket: &TcpStream) -> bool {
     tokio::select! {
         biased;
-        ready = peer.ready(Interest::READABLE) => ready.is_ok_and(|ready| ready.is_read_closed()),
+        ready = client_socket.ready(Interest::READABLE) => ready.is_ok_and(|ready| ready.is_read_closed()),
         () = std::future::ready(()) => false,
     }
 }
@@ -41,7 +44,7 @@
     }
 }
 
-/// Tells the driver when hyper gives a request up because its client has left.
+/// Cancels a request and notifies the driver when hyper drops it because its client has left.
 pub(super) struct CancelOnDrop<'a> {
     pub(super) inputs: &'a UnboundedSender<Input>,
     pub(super) id: RequestId,
@@ -52,7 +55,7 @@
 impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.cancellation.cancel(); // at once: the driver may have much to do before it comes to this
+            self.cancellation.cancel(); // at once, since the driver may have many inputs queued before this one
             let _ = self.inputs.send(Input::ClientLeft(self.id));
         }
     }
--- a/crates/node/src/front/connection.rs
+++ b/crates/node/src/front/connection.rs
@@ -1,90 +1,103 @@
-//! One client's connection: how long it stays as it is, and why it is closed.
+//! Serves one client connection and closes it on a timeout or when the node drains.
 
 use super::*;
 
-/// For the first byte on a connection that comes to a node which takes no new ones: nothing may stay open there.
+/// Time for the first byte on a connection accepted while the node drains: no connection may stay open there.
 const DRAINING_IDLE_TIMEOUT: Nanos = 500_000_000;
-/// Between looks whether a request that has begun to come is there.
+/// Interval between checks whether a partially received request is complete.
 const PARTIAL_REQUEST_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bytes buffered of a request: all slots together must fit in memory.
+/// Bytes of a request that a connection buffers: the buffers of all slots together must fit in memory.
 pub(super) const MAX_BUFFER_BYTES: usize = 16 << 10;
-/// Connections short of the most at which they are closed after their answer.
+/// Number of free slots below which connections are closed after their response.
 const KEEP_ALIVE_RESERVE: usize = 32;
 
 impl Front {
-    /// Serves one connection until it ends; `peer` is its socket, where there is one.
+    /// Serves one connection until it ends. `client_socket` is its socket, if it has one.
     pub(super) async fn serve_connection(
-        &self, stream: impl AsyncRead + AsyncWrite + Unpin, peer: Option<Arc<TcpStream>>,
-        mut closing: watch::Receiver<bool>,
+        &self, stream: impl AsyncRead + AsyncWrite + Unpin, client_socket: Option<Arc<TcpStream>>,
+        mut close_requested: watch::Receiver<bool>,
     ) {
         let mut posture = self.posture.clone();
         let Posture { keeps, retired, .. } = *posture.borrow_and_update();
-        let longest = self.deadlines.iter().copied().max().unwrap_or(0);
-        let line = Arc::new(ConnectionTimeouts::new(Some(DRAINING_IDLE_TIMEOUT).filter(|_| !keeps), longest));
-        let origin = Instant::now();
-        let now = move || origin.elapsed().as_nanos() as Nanos;
-        let due = async {
+        let longest_deadline = self.deadlines.iter().copied().max().unwrap_or(0);
+        let timeouts = Arc::new(ConnectionTimeouts::new(
+            Some(DRAINING_IDLE_TIMEOUT).filter(|_| !keeps),
+            longest_deadline,
+        ));
+        let accepted_at = Instant::now();
+        let now = move || accepted_at.elapsed().as_nanos() as Nanos;
+        let timed_out = async {
             loop {
-                let (at, why) = line.deadline();
+                let (at, reason) = timeouts.deadline();
                 match at.checked_sub(now()) {
-                    None | Some(0) => return why,
-                    Some(left) => sleep(Duration::from_nanos(left.min(line.poll_interval()))).await,
+                    None | Some(0) => return reason,
+                    Some(time_left) => {
+                        sleep(Duration::from_nanos(time_left.min(timeouts.poll_interval()))).await
+                    }
                 }
             }
         };
-        tokio::pin!(due);
+        tokio::pin!(timed_out);
         let service = service_fn(|request| {
-            let first = line.request_started().then_some(origin);
-            let under_way =
-                ActiveRequest { timeouts: line.clone(), accepted_at: origin, client_socket: peer.clone() };
-            self.handle_request(request, under_way, first)
+            let first_request_since = timeouts.request_started().then_some(accepted_at);
+            let active_request = ActiveRequest {
+                timeouts: timeouts.clone(),
+                accepted_at,
+                client_socket: client_socket.clone(),
+            };
+            self.handle_request(request, active_request, first_request_since)
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .keep_alive(keeps)
             .header_read_timeout(None)
             .max_buf_size(MAX_BUFFER_BYTES)
-            .serve_connection(TokioIo::new(MonitoredStream::new(stream, line.clone(), origin)), service);
+            .serve_connection(
+                TokioIo::new(MonitoredStream::new(stream, timeouts.clone(), accepted_at)),
+                service,
+            );
         tokio::pin!(connection);
         tokio::select! {
             biased;
-            ended = connection.as_mut() => return self.count_end(ended),
-            _ = closing.wait_for(|closing| *closing) => {}
+            result = connection.as_mut() => return self.count_end(result),
+            _ = close_requested.wait_for(|requested| *requested) => {}
             _ = posture.wait_for(|now| now.retired > retired) => {}
-            why = due.as_mut() => return self.count_timeout(why),
+            reason = timed_out.as_mut() => return self.count_timeout(reason),
         }
-        // hyper closes what rests, also over the beginning of a request: that one is still answered, with a close.
-        while line.has_partial_request() {
+        // A graceful shutdown by hyper closes an idle connection even when part of a request has arrived. Such a
+        // request is answered first, with `Connection: close`.
+        while timeouts.has_partial_request() {
             tokio::select! {
                 biased;
-                ended = connection.as_mut() => return self.count_end(ended),
-                why = due.as_mut() => return self.count_timeout(why),
+                result = connection.as_mut() => return self.count_end(result),
+                reason = timed_out.as_mut() => return self.count_timeout(reason),
                 () = sleep(PARTIAL_REQUEST_POLL_INTERVAL) => {}
             }
         }
         connection.as_mut().graceful_shutdown();
         tokio::select! {
-            _ = connection => {} // how it ends shows at the request on it
-            why = due => self.count_timeout(why),
+            _ = connection => {} // an error is reported to the request on it
+            reason = timed_out => self.count_timeout(reason),
         }
     }
 
-    /// Whether there is little room for further clients.
+    /// Returns whether few slots are left for further clients.
     pub(super) fn is_nearly_full(&self) -> bool {
         self.capacity.clients.free() < KEEP_ALIVE_RESERVE
     }
 
-    /// Counts a connection that is closed in the middle of something.
-    fn count_timeout(&self, why: CloseReason) {
-        increment(match why {
+    /// Counts a connection that a timeout closes.
+    fn count_timeout(&self, reason: CloseReason) {
+        increment(match reason {
             CloseReason::NoRequest => &self.stats.silent,
             CloseReason::Stalled => &self.stats.stalled,
         });
     }
 
-    /// Counts an end that is the peer's fault; all others show at the request on the connection.
-    fn count_end(&self, ended: hyper::Result<()>) {
-        match ended {
+    /// Counts a connection that ends because of an invalid or incomplete message; other errors are reported to the
+    /// request on it.
+    fn count_end(&self, result: hyper::Result<()>) {
+        match result {
             Err(error) if error.is_parse() || error.is_incomplete_message() => {
                 increment(&self.stats.malformed)
             }
--- a/crates/node/src/front/listener.rs
+++ b/crates/node/src/front/listener.rs
@@ -1,20 +1,20 @@
-//! The socket at which clients connect.
+//! The listening socket for clients.
 
 use super::*;
 
-/// Connections that the kernel holds until they are accepted.
+/// Maximum number of connections that the kernel queues until they are accepted.
 pub(super) const BACKLOG: u32 = 1024;
 
-/// The socket at which clients connect.
+/// The listening socket for clients.
 pub enum ClientListener {
-    /// It accepts connections.
+    /// Listening for connections.
     Listening(TcpListener),
-    /// Bound only: until it listens the kernel brings clients to another process on the address.
+    /// Bound but not listening: until it listens, the kernel gives new connections to another process on the address.
     Bound(TcpSocket),
 }
 
 impl ClientListener {
-    /// Listens now if clients may come.
+    /// Starts to listen at once if `opens` is true.
     pub fn new(socket: TcpSocket, opens: bool) -> io::Result<Self> {
         if opens {
             Ok(ClientListener::Listening(socket.listen(BACKLOG)?))
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Its address.
+    /// Returns the local address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         match self {
             ClientListener::Listening(listener) => listener.local_addr(),
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, their requests on the way to the driver, and the answers.
+//! The client side: accepts connections, passes requests to the driver and sends the responses.
 
 use std::convert::Infallible;
 use std::future::pending;
@@ -55,23 +55,24 @@
 use stall::StallDetector;
 use stats::{increment, ConnectionStats};
 
-/// From a head on, for a body's next bytes: clients send in pieces, with seconds between them.
+/// Base time for a body from the end of its head: clients send in pieces, with seconds between them.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// From connecting on, for all of a first request that does not move: its peer is owed an error within 3 s.
+/// Time from the accept for a first request that stalls: the client must get an error within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_850);
-const MIN_FIRST_BODY_TIMEOUT: Duration = Duration::from_millis(600); // the least that a slow head leaves its body
-const MIN_BODY_RATE: f64 = 48_000.0; // bytes a second that a body comes with at least: clients may take 64 kB/s
-const SETTLE_INTERVAL: Duration = Duration::from_millis(20); // until a connection is sure to have been looked at
-
-const REPORT_INTERVAL: Duration = Duration::from_secs(5); // between log lines on the clients' connections
-
+/// Time that is left at least to the body of a first request after a slow head.
+const MIN_FIRST_BODY_TIMEOUT: Duration = Duration::from_millis(600);
+/// Slowest accepted rate of a body in bytes per second; clients may send as slowly as 64 kB/s.
+const MIN_BODY_RATE: f64 = 48_000.0;
+/// Time in which the task of an accepted connection is certain to have run once.
+const SETTLE_INTERVAL: Duration = Duration::from_millis(20);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5); // between log lines on client connections
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the tasks of all client connections share.
+/// The state that the tasks of all client connections share.
 pub struct Front {
     classes: Numbering,
     tenants: Numbering,
-    accepts_new_tenants: bool, // revisions of the configuration may name others
+    accepts_new_tenants: bool, // revisions of the configuration may add tenants
     deadlines: Vec<Nanos>,
     posture: watch::Receiver<Posture>,
     capacity: Capacity,
@@ -83,6 +84,7 @@
 }
 
 impl Front {
+    /// Creates a front that has accepted no connection yet.
     pub fn new(
         settings: &Settings, names: &Names, clock: Clock, inputs: UnboundedSender<Input>, capacity: Capacity,
         posture: watch::Receiver<Posture>,
@@ -102,14 +104,15 @@
         }
     }
 
-    /// Revisions of the configuration may add tenants from now on.
+    /// Allows revisions of the configuration to add tenants.
     pub fn accept_new_tenants(&mut self) {
         self.accepts_new_tenants = true;
     }
 
-    /// Accepts for as long as the posture says, and returns when all connections have ended.
+    /// Accepts connections as long as the posture allows it, and returns when all connections have ended or the node's
+    /// end is reached.
     pub async fn serve(self: Arc<Self>, listener: ClientListener) {
-        let (close, closing) = watch::channel(false);
+        let (close, close_requested) = watch::channel(false);
         let front = self.clone();
         tokio::spawn(async move {
             let mut reported = Instant::now();
@@ -132,47 +135,51 @@
         };
         match listener {
             Ok(listener) => {
-                let mut listed = posture.clone();
+                let mut list_posture = posture.clone();
                 let accept = async {
-                    let _ = listed.wait_for(|posture| posture.listed).await;
+                    let _ = list_posture.wait_for(|posture| posture.listed).await;
                     loop {
-                        self.accept(&listener, &closing).await;
+                        self.accept(&listener, &close_requested).await;
                     }
                 };
                 tokio::select! {
                     () = accept => {}
                     _ = posture.wait_for(|posture| !posture.accepts) => {}
                 }
-                // Once a client is due to be left without an answer, waiting for its slot serves nobody.
+                // After the end of the node no client gets a response, so waiting for slots ends then.
                 let ends_at = self.posture.borrow().ends_at.unwrap_or(self.clock.now());
-                let left =
-                    timeout_at(self.clock.instant(ends_at), self.drain_backlog(listener, &closing)).await;
-                if left.is_err() {
-                    warn!("clients were still waiting to be accepted at the end");
+                let drained =
+                    timeout_at(self.clock.instant(ends_at), self.drain_backlog(listener, &close_requested))
+                        .await;
+                if drained.is_err() {
+                    warn!("shutdown deadline reached with clients still waiting to be accepted");
                 }
             }
-            Err(error) => return warn!(%error, "cannot listen for clients"),
+            Err(error) => return warn!(%error, "failed to listen for clients"),
         }
         sleep(SETTLE_INTERVAL).await;
         close.send_replace(true);
         let ends_at = self.posture.borrow().ends_at.unwrap_or(self.clock.now());
-        let all_gone = async {
+        let all_closed = async {
             while self.capacity.clients.in_use() > 0 {
                 sleep(SETTLE_INTERVAL).await;
             }
         };
-        if timeout_at(self.clock.instant(ends_at), all_gone).await.is_err() {
-            warn!("connections were still open at the end");
+        if timeout_at(self.clock.instant(ends_at), all_closed).await.is_err() {
+            warn!("shutdown deadline reached with client connections still open");
         }
     }
 
+    /// Responds to a request; errors become responses that close the connection. `first_request_since` is when the
+    /// connection was accepted, if this is its first request.
     async fn handle_request(
-        &self, request: Request<Incoming>, under_way: ActiveRequest, first: Option<Instant>,
+        &self, request: Request<Incoming>, active_request: ActiveRequest,
+        first_request_since: Option<Instant>,
     ) -> Result<Response<TrackedBody>, Infallible> {
-        let answered = self.process_request(request, &under_way, first).await;
-        // Who sends no proper request is not given another try at the cost of a client's slot.
-        let improper = answered.is_err();
-        let mut response = match answered {
+        let result = self.process_request(request, &active_request, first_request_since).await;
+        // A connection with an invalid request is closed after the error, so that it does not hold a slot.
+        let is_invalid = result.is_err();
+        let mut response = match result {
             Ok(response) => response,
             Err(status) => {
                 increment(&self.stats.rejected);
@@ -181,16 +188,18 @@
                 response
             }
         };
-        if improper || !self.posture.borrow().keeps || self.is_nearly_full() {
+        if is_invalid || !self.posture.borrow().keeps || self.is_nearly_full() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        Ok(response.map(|body| TrackedBody { body, _active_request: under_way }))
+        Ok(response.map(|body| TrackedBody { body, _active_request: active_request }))
     }
 
+    /// Reads a request, passes it to the driver and waits for its reply. An error is the status for an invalid request.
     async fn process_request(
-        &self, request: Request<Incoming>, under_way: &ActiveRequest, first: Option<Instant>,
+        &self, request: Request<Incoming>, active_request: &ActiveRequest,
+        first_request_since: Option<Instant>,
     ) -> Result<Response<ClientBody>, StatusCode> {
-        let line = &*under_way.timeouts;
+        let timeouts = &*active_request.timeouts;
         let arrived = self.stalls.arrival(self.clock.now());
         let (head, mut body) = request.into_parts();
         if head.uri.path() == "/health/ready" && matches!(head.method, Method::GET | Method::HEAD) {
@@ -198,67 +207,76 @@
             if !self.posture.borrow().ready {
                 *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             }
-            line.request_read();
+            timeouts.request_read();
             return Ok(response);
         }
-        let asked = RequestHead::read(&head.uri, &head.headers);
-        let class = asked.class.and_then(|name| self.classes.get(name)).ok_or(StatusCode::NOT_FOUND)?;
-        if !asked.has_id {
+        let request_head = RequestHead::read(&head.uri, &head.headers);
+        let class =
+            request_head.class.and_then(|name| self.classes.get(name)).ok_or(StatusCode::NOT_FOUND)?;
+        if !request_head.has_id {
             return Err(StatusCode::BAD_REQUEST);
         }
-        let RequestHead { key, cost_hint, repeat, remaining, .. } = asked;
-        let tenant =
-            asked.tenant.and_then(|name| NamedTenant::named(name, &self.tenants, self.accepts_new_tenants));
-        let bodiless = body.is_end_stream();
-        let begun = Instant::now();
-        let patient = match first {
-            Some(connected) => (connected + FIRST_REQUEST_TIMEOUT).max(begun + MIN_FIRST_BODY_TIMEOUT),
-            None => begun + BODY_TIMEOUT,
+        let RequestHead { key, cost_hint, repeat, remaining, .. } = request_head;
+        let tenant = request_head
+            .tenant
+            .and_then(|name| NamedTenant::named(name, &self.tenants, self.accepts_new_tenants));
+        let has_no_body = body.is_end_stream();
+        let head_read_at = Instant::now();
+        let base_deadline = match first_request_since {
+            Some(connected) => (connected + FIRST_REQUEST_TIMEOUT).max(head_read_at + MIN_FIRST_BODY_TIMEOUT),
+            None => head_read_at + BODY_TIMEOUT,
+        };
+        let wait_limit = |received: usize| {
+            (base_deadline + Duration::from_secs_f64(received as f64 / MIN_BODY_RATE), OnTimeout::Fail)
         };
-        let next =
-            |came: usize| (patient + Duration::from_secs_f64(came as f64 / MIN_BODY_RATE), OnTimeout::Fail);
-        let gathered = buffer_body(&mut body, &BufferBudget(self.capacity.bodies.clone()), next)
+        let prefix = buffer_body(&mut body, &BufferBudget(self.capacity.bodies.clone()), wait_limit)
             .await
-            .map_err(|broken| match broken {
+            .map_err(|error| match error {
                 BodyError::TimedOut => StatusCode::REQUEST_TIMEOUT,
                 BodyError::Broken => StatusCode::BAD_REQUEST,
             })?;
-        line.request_read();
-        // Its time counts from its last byte; that of a long one, which is still to come, from when it does.
-        let arrived = if bodiless { arrived } else { self.stalls.arrival(self.clock.now()) };
+        timeouts.request_read();
+        // The time of a request counts from its last byte; for a streamed request the last byte is still to come.
+        let arrived = if has_no_body { arrived } else { self.stalls.arrival(self.clock.now()) };
         let deadline = self.deadlines[class];
-        let expires = arrived + remaining.unwrap_or(deadline).min(deadline);
-        let expires = self.posture.borrow().answers_by.map_or(expires, |by| expires.min(by));
-        let body = match gathered {
-            all @ BodyPrefix { is_complete: true, .. } => RequestBody::Buffered(all.into()),
-            some => RequestBody::Streamed(Arc::new(Upload::new(some, body, self.clock))),
+        let client_deadline = arrived + remaining.unwrap_or(deadline).min(deadline);
+        let client_deadline =
+            self.posture.borrow().answers_by.map_or(client_deadline, |by| client_deadline.min(by));
+        let body = match prefix {
+            complete @ BodyPrefix { is_complete: true, .. } => RequestBody::Buffered(complete.into()),
+            incomplete => RequestBody::Streamed(Arc::new(Upload::new(incomplete, body, self.clock))),
         };
-        let asks_head = head.method == Method::HEAD;
+        let is_head = head.method == Method::HEAD;
         let path = head.uri.path_and_query().cloned().map_or_else(Uri::default, Uri::from);
-        let outgoing = Arc::new(UpstreamRequest::new(head.method, path, head.headers, body));
+        let upstream_request = Arc::new(UpstreamRequest::new(head.method, path, head.headers, body));
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (client, reply) = oneshot::channel();
-        let arrival = ClientRequest {
+        let client_request = ClientRequest {
             id,
             class,
             tenant,
             key,
             cost_hint,
             repeat,
-            client_deadline: expires,
-            outgoing: outgoing.clone(),
+            client_deadline,
+            upstream_request: upstream_request.clone(),
             client,
         };
-        let mut waiting =
-            CancelOnDrop { inputs: &self.inputs, id, cancellation: &outgoing.cancellation, answered: false };
-        let _ = self.inputs.send(Input::Request(arrival));
+        let mut cancel_on_drop = CancelOnDrop {
+            inputs: &self.inputs,
+            id,
+            cancellation: &upstream_request.cancellation,
+            answered: false,
+        };
+        let _ = self.inputs.send(Input::Request(client_request));
         let reply = tokio::select! {
             biased;
             reply = reply => reply.unwrap_or(Reply::Failed),
-            () = under_way.wait_for_disconnect() => return Err(StatusCode::BAD_REQUEST), // nobody is there to read it
+            // Any status will do: no client is left to read it.
+            () = active_request.wait_for_disconnect() => return Err(StatusCode::BAD_REQUEST),
         };
-        waiting.answered = true;
-        Ok(build_response(reply, asks_head))
+        cancel_on_drop.answered = true;
+        Ok(build_response(reply, is_head))
     }
 }
 
--- a/crates/node/src/front/response.rs
+++ b/crates/node/src/front/response.rs
@@ -1,8 +1,8 @@
-//! Answers as they go out to clients.
+//! Responses to clients.
 
 use super::*;
 
-/// An answer's body, while which its request is under way.
+/// The body of a response; its request counts as in progress until the body is dropped.
 pub(super) struct TrackedBody {
     pub(super) body: ClientBody,
     pub(super) _active_request: ActiveRequest,
@@ -38,42 +38,45 @@
     }
 }
 
-/// What is in it.
+/// The content of a response body.
 pub(super) enum ClientBody {
     Buffered { body: Full<Bytes>, _buffer: BufferedBody },
     Streamed(Box<Relay>),
 }
 
 impl ClientBody {
+    /// Returns an empty body.
     pub(super) fn empty() -> Self {
         ClientBody::from(BufferedBody::small(Bytes::new()))
     }
 }
 
 impl From<BufferedBody> for ClientBody {
-    fn from(held: BufferedBody) -> Self {
-        ClientBody::Buffered { body: Full::new(held.bytes.clone()), _buffer: held }
+    fn from(buffered: BufferedBody) -> Self {
+        ClientBody::Buffered { body: Full::new(buffered.bytes.clone()), _buffer: buffered }
     }
 }
 
-pub(super) fn build_response(reply: Reply, asks_head: bool) -> Response<ClientBody> {
+/// Converts the driver's reply to an HTTP response. `is_head` is whether the request method is HEAD.
+pub(super) fn build_response(reply: Reply, is_head: bool) -> Response<ClientBody> {
     let mut response = Response::new(ClientBody::empty());
     match reply {
-        Reply::Served(answer) => {
-            *response.body_mut() = match answer.body {
-                ServerResponseBody::Buffered(held) => held.into(),
+        Reply::Served(server_response) => {
+            *response.body_mut() = match server_response.body {
+                ServerResponseBody::Buffered(buffered) => buffered.into(),
                 ServerResponseBody::Streamed(relay) => ClientBody::Streamed(relay),
             };
-            if let Some(length) = answer.length.filter(|_| asks_head) {
+            if let Some(length) = server_response.length.filter(|_| is_head) {
                 response.headers_mut().insert(CONTENT_LENGTH, length);
             }
-            answer.content_type.map(|kind| response.headers_mut().insert(CONTENT_TYPE, kind));
+            server_response.content_type.map(|kind| response.headers_mut().insert(CONTENT_TYPE, kind));
         }
         Reply::Refused { retry_after } => {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             if retry_after > 0 {
                 let seconds = format!("{:.3}", retry_after as f64 / 1e9);
-                let seconds = HeaderValue::try_from(seconds).expect("a number is plain");
+                let seconds =
+                    HeaderValue::try_from(seconds).expect("a decimal number is a valid header value");
                 response.headers_mut().insert(RETRY_AFTER, seconds);
             }
         }
--- a/crates/node/src/front/stall.rs
+++ b/crates/node/src/front/stall.rs
@@ -1,14 +1,16 @@
-//! Stalls of this process: what one kept waiting counts from its beginning.
+//! Detects stalls of this process. Requests that waited during a stall count as arrived at its beginning.
 
 use super::*;
 
-/// Time between two heartbeats that makes a stall: well over what timers and a full turn take.
+/// Shortest time between two heartbeats that counts as a stall: well above timer delays and a full turn of the event
+/// loop.
 pub(super) const MIN_STALL: Nanos = 25_000_000;
 
-/// Time after a stall in which what it kept waiting is found.
+/// Time after a stall within which the requests that waited during it are read.
 pub(super) const RECOVERY: Nanos = 2_000_000;
 
-/// Notices by its heartbeat that the process was stalled: what it finds then may have come at any time since.
+/// Detects by missing heartbeats that the process was stalled: a request that is read then may have arrived at any time
+/// since the last heartbeat.
 pub(super) struct StallDetector {
     last_heartbeat: AtomicU64,
     stalled_from: AtomicU64,
@@ -24,7 +26,7 @@
         }
     }
 
-    /// Notes that the process runs.
+    /// Records that the process runs.
     pub(super) fn heartbeat(&self, now: Nanos) {
         let last = self.last_heartbeat.swap(now, Ordering::Relaxed);
         if now - last > MIN_STALL {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// When a request that is read now came in, at the earliest.
+    /// Returns the earliest time at which a request that is read now may have arrived.
     pub(super) fn arrival(&self, now: Nanos) -> Nanos {
         let last = self.last_heartbeat.load(Ordering::Relaxed);
         if now - last > MIN_STALL {
--- a/crates/node/src/front/stats.rs
+++ b/crates/node/src/front/stats.rs
@@ -1,20 +1,21 @@
-//! What became of clients' connections, for the log.
+//! Counters of client connections, for the log.
 
 use super::*;
 
-/// What became of connections since the last log line; shows an operator peers that send no proper request.
+/// Counts of client connections since the last log line. They show peers that send no valid request.
 #[derive(Default)]
 pub(super) struct ConnectionStats {
     pub(super) accepted: AtomicU64,
-    pub(super) silent: AtomicU64,    // closed because no whole head came in time
-    pub(super) malformed: AtomicU64, // closed because what came was not HTTP or not whole
-    pub(super) rejected: AtomicU64, // closed after a request that was not proper and was answered with an error
-    pub(super) stalled: AtomicU64,  // closed because no byte moved for long, in the middle of a message
-    pub(super) full: AtomicU64,     // times that a client had to wait for room
+    pub(super) silent: AtomicU64, // closed because no complete request head arrived in time
+    pub(super) malformed: AtomicU64, // closed because of an invalid or incomplete message
+    pub(super) rejected: AtomicU64, // closed after an invalid request that was answered with an error
+    pub(super) stalled: AtomicU64, // closed because no byte was transferred for too long within a message
+    pub(super) full: AtomicU64,   // times that all slots were in use when a client was to be accepted
 }
 
 impl ConnectionStats {
-    /// Writes a line if there is something in it that an operator should look at.
+    /// Writes a log line if any count other than `accepted` is above 0. `held` is the number of slots in use, `most`
+    /// the number of slots.
     pub(super) fn report(&self, held: usize, most: usize) {
         let take = |count: &AtomicU64| count.swap(0, Ordering::Relaxed);
         let accepted = take(&self.accepted);
@@ -26,7 +27,7 @@
     }
 }
 
-/// Adds one to a count.
+/// Adds one to a counter.
 pub(super) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -1,4 +1,4 @@
-//! What the parts around the driver report to it, and what it answers a client.
+//! Messages to the driver, and its replies to clients and to the console.
 
 use std::sync::Arc;
 
@@ -12,76 +12,63 @@
 use crate::metrics::RequestEnd;
 use crate::upstream::{AttemptOutcome, Connection, ServerResponse, UpstreamRequest};
 
-/// What the other parts report.
+/// A message from another part of the node to the driver.
 pub enum Input {
+    /// A client request has been read.
     Request(ClientRequest),
+    /// The client has disconnected before its response.
     ClientLeft(RequestId),
-    AttemptEnded {
-        id: RequestId,
-        attempt: u32,
-        outcome: Box<AttemptOutcome>,
-    },
-    /// A long request's last byte has been handed on.
+    /// An attempt has ended.
+    AttemptEnded { id: RequestId, attempt: u32, outcome: Box<AttemptOutcome> },
+    /// The last byte of a streamed request has been handed to a connection.
     Uploaded(RequestId),
-    /// A long answer has ended.
-    ResponseEnded {
-        id: RequestId,
-        end: RequestEnd,
-        connection: Option<Connection>,
-    },
-    /// A connection that its attempt gave up has come up after all.
-    LateConnection {
-        server: ServerId,
-        connection: Connection,
-    },
+    /// A streamed response has ended.
+    ResponseEnded { id: RequestId, end: RequestEnd, connection: Option<Connection> },
+    /// A connection has been established after its attempt had given up on it.
+    LateConnection { server: ServerId, connection: Connection },
+    /// Discovery has sent a server list or changes to it.
     List(List),
-    Peer {
-        from: u32,
-        bytes: Vec<u8>,
-    },
-    /// A revision of the configuration comes into force, as a whole.
-    Configuration {
-        change: Box<Change>,
-        applied: oneshot::Sender<()>,
-    },
-    /// How this node sees its fleet now.
+    /// A peer node has sent a message.
+    Peer { from: u32, bytes: Vec<u8> },
+    /// A revision of the configuration takes effect; `applied` is notified once the driver uses it.
+    Configuration { change: Box<Change>, applied: oneshot::Sender<()> },
+    /// This node's current view of its fleet.
     Fleet(Box<Snapshot>),
-    /// An operator's call.
-    Console {
-        command: ConsoleCommand,
-        reply: oneshot::Sender<ConsoleReply>,
-    },
-    /// The platform ends this process.
+    /// An operator's command from the console.
+    Console { command: ConsoleCommand, reply: oneshot::Sender<ConsoleReply> },
+    /// The platform terminates this process.
     Terminate,
 }
 
-/// What operators ask for.
+/// A command from an operator.
 #[derive(Debug)]
 pub enum ConsoleCommand {
-    /// Whether this process can serve.
+    /// Reports whether this process can serve.
     Status,
-    /// All counts.
+    /// Reports all counters.
     Metrics,
-    /// The members of the fleet.
+    /// Lists the members of the fleet.
     Members,
-    /// Takes a server out, or puts it back.
+    /// Puts a server into maintenance (`out`), or takes it back into service.
     Maintenance { member: String, out: bool },
-    /// Drains the node, or ends that.
+    /// Drains the node (`true`), or makes it active again.
     Standby(bool),
 }
 
-/// What they are told.
+/// The reply to a console command.
 #[derive(Debug)]
 pub enum ConsoleReply {
+    /// The command was carried out, or the answer to a query.
     Ok(String),
+    /// The command cannot be carried out yet.
     Unavailable(String),
-    /// What the node is doing does not allow it.
+    /// The state of the node does not allow the command.
     Conflict(String),
-    /// There is no such thing.
+    /// The object that the command names does not exist.
     NotFound(String),
 }
 
-/// A client's request.
+/// A request from a client.
 pub struct ClientRequest {
     pub id: RequestId,
     pub class: usize,
@@ -89,25 +76,26 @@
     pub key: Option<u64>,
     pub cost_hint: Option<Nanos>,
     pub repeat: bool,
-    /// When the client stops waiting.
+    /// When the client stops waiting for the response.
     pub client_deadline: Nanos,
-    pub outgoing: Arc<UpstreamRequest>,
+    pub upstream_request: Arc<UpstreamRequest>,
     pub client: oneshot::Sender<Reply>,
 }
 
-/// A final answer.
+/// The final reply to a client request.
 #[derive(Debug)]
 pub enum Reply {
+    /// A server's response.
     Served(ServerResponse),
-    Refused {
-        retry_after: Nanos,
-    },
+    /// Rejected before any server worked on it, so that a retry does no harm. `retry_after` 0 means none is suggested.
+    Refused { retry_after: Nanos },
+    /// No server answered, or only with an error.
     Failed,
-    /// The client did not send what it owed.
+    /// The client did not send the rest of its body in time.
     Stalled,
 }
 
-/// Hands changes of the configuration to the driver that takes these inputs; what it gives is false once that is gone.
+/// Returns a function that sends configuration changes to the driver; it returns false once the driver has stopped.
 pub fn deliver_changes(inputs: UnboundedSender<Input>) -> impl Fn(Box<Change>, oneshot::Sender<()>) -> bool {
-    move |change, taken| inputs.send(Input::Configuration { change, applied: taken }).is_ok()
+    move |change, applied| inputs.send(Input::Configuration { change, applied }).is_ok()
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,5 +1,5 @@
-//! All counts of a node, in one place. The driver counts a request where it takes it, and once where it takes
-//! the request's client off its table; so what is pending is a difference and cannot drift from the rest.
+//! All counters of a node. The driver counts a request when it receives it, and once more when the request ends, so the
+//! number of pending requests is a difference and cannot drift from the counters.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,13 +11,13 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Served whole.
+    /// Served in full.
     Completed,
-    /// Refused: trying again does no harm.
+    /// Refused; a retry does no harm.
     Rejected,
-    /// Failed.
+    /// Answered with a failure.
     Failed,
-    /// Its client did not wait for the answer.
+    /// The client left before the end of the response.
     ClientLeft,
 }
 
@@ -30,45 +30,45 @@
     ended: [u64; ENDS],
 }
 
-/// Sums over all classes since the start.
+/// Sums over all classes since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Requests taken.
+    /// Requests received.
     pub received: u64,
-    /// Those that ended, by [`End`].
+    /// Requests that ended, indexed by [`RequestEnd`].
     pub ended: [u64; ENDS],
 }
 
 impl Totals {
-    /// Of one end.
+    /// Returns the number of requests that ended in this way.
     pub fn ended_as(&self, end: RequestEnd) -> u64 {
         self.ended[end as usize]
     }
 
-    /// What was added since an earlier look.
+    /// Returns the difference to an earlier snapshot.
     pub fn since(&self, earlier: &Totals) -> Totals {
         let ended = std::array::from_fn(|n| self.ended[n] - earlier.ended[n]);
         Totals { received: self.received - earlier.received, ended }
     }
 }
 
-/// Counts attempts whose last byte was handed to their connection.
+/// Counts attempts whose last byte was handed to a connection.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptCounter(Arc<AtomicU64>);
 
 impl AttemptCounter {
-    /// One more.
+    /// Counts an attempt.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// One less: its connection had ended, and nothing was written.
+    /// Uncounts an attempt whose connection had ended before anything was written.
     pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The counts since the process started.
+/// The counters since the process started.
 #[derive(Debug, Default)]
 pub struct Metrics {
     classes: Vec<ClassCounts>,
@@ -76,28 +76,31 @@
 }
 
 impl Metrics {
-    /// All at 0, with each class in its place.
+    /// Creates the counters of all classes, at 0.
     pub fn new(classes: &Numbering) -> Self {
-        let of = |name: &str| ClassCounts { name: name.to_owned(), ..ClassCounts::default() };
-        Metrics { classes: classes.names().map(of).collect(), sent_attempts: AttemptCounter::default() }
+        let counts_of = |name: &str| ClassCounts { name: name.to_owned(), ..ClassCounts::default() };
+        Metrics {
+            classes: classes.names().map(counts_of).collect(),
+            sent_attempts: AttemptCounter::default(),
+        }
     }
 
-    /// What attempts report to.
+    /// Returns the counter that attempts increment.
     pub fn sent_attempts(&self) -> AttemptCounter {
         self.sent_attempts.clone()
     }
 
-    /// A request has been taken.
+    /// Counts a request received.
     pub fn request_received(&mut self, class: usize) {
         self.classes[class].received += 1;
     }
 
-    /// It has ended.
+    /// Counts the end of a request.
     pub fn request_ended(&mut self, class: usize, end: RequestEnd) {
         self.classes[class].ended[end as usize] += 1;
     }
 
-    /// Over all classes.
+    /// Returns the sums over all classes.
     pub fn totals(&self) -> Totals {
         self.classes.iter().fold(Totals::default(), |sum, class| Totals {
             received: sum.received + class.received,
@@ -105,13 +108,13 @@
         })
     }
 
-    /// Requests taken that have not ended.
+    /// Returns the number of requests that were received and have not ended.
     pub fn pending(&self) -> u64 {
-        let Totals { received: taken, ended } = self.totals();
-        taken - ended.iter().sum::<u64>()
+        let Totals { received, ended } = self.totals();
+        received - ended.iter().sum::<u64>()
     }
 
-    /// As operators read them, one `name=value` a line.
+    /// Writes the counters for operators, one `name=value` per line.
     pub fn text(&self, members: usize, unavailable: usize) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
@@ -134,7 +137,7 @@
     }
 }
 
-/// What operators read of the fleet, in the same form.
+/// Writes the view of the fleet in the same form.
 pub fn fleet_text(fleet: &Snapshot) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: u64| {
@@ -155,13 +158,13 @@
     use super::*;
 
     #[test]
-    fn every_class_is_listed_from_the_start_and_what_was_taken_is_pending_or_ended() {
+    fn lists_every_class_from_the_start_and_counts_each_received_request_as_pending_or_ended() {
         let mut names = Numbering::default();
         names.number("read");
         names.number("write");
-        let mut figures = Metrics::new(&names);
+        let mut metrics = Metrics::new(&names);
         assert_eq!(
-            figures.text(2, 1),
+            metrics.text(2, 1),
             "edge_balancer.downstream_requests.read.completed=0\n\
              edge_balancer.downstream_requests.read.rejected=0\n\
              edge_balancer.downstream_requests.read.failed=0\n\
@@ -174,12 +177,12 @@
              edge_balancer.members_unavailable=1\n"
         );
         for _ in 0..3 {
-            figures.request_received(1);
+            metrics.request_received(1);
         }
-        figures.request_ended(1, RequestEnd::Rejected);
-        figures.request_ended(1, RequestEnd::ClientLeft);
-        figures.sent_attempts().increment();
-        let text = figures.text(0, 0);
+        metrics.request_ended(1, RequestEnd::Rejected);
+        metrics.request_ended(1, RequestEnd::ClientLeft);
+        metrics.sent_attempts().increment();
+        let text = metrics.text(0, 0);
         for line in ["downstream_requests.write.rejected=1", "pending=1", "upstream_requests=1"] {
             assert!(text.contains(&format!("edge_balancer.{line}\n")), "{line} is not in {text}");
         }
--- a/crates/node/src/request_head.rs
+++ b/crates/node/src/request_head.rs
@@ -1,4 +1,4 @@
-//! What the head of a client's request says. Whatever stands there, reading it ends in a value or in none.
+//! Reads the protocol headers and the URI of a client request. A value that cannot be read counts as absent.
 
 use std::hash::Hasher;
 
@@ -6,27 +6,27 @@
 use hyper::Uri;
 use merlinfold_decide::interface::Nanos;
 
-/// What a client asks for, in its own words. Values that cannot be read count as absent.
+/// The values of a request head that the node uses. Values that cannot be read count as absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHead<'a> {
-    /// Name of the class: from its header, else the first part of the path.
+    /// Name of the request class: from the `x-lane` header, else the first segment of the path.
     pub class: Option<&'a str>,
-    /// It bears an id of the protocol's form.
+    /// Whether the request has an `x-txn` id of 16 lower-case hexadecimal digits.
     pub has_id: bool,
-    /// Time that the client waits.
+    /// Time for which the client waits, from `x-remaining-ms`.
     pub remaining: Option<Nanos>,
-    /// Name of the tenant.
+    /// Name of the tenant, from `x-org`.
     pub tenant: Option<&'a str>,
-    /// A number for what it is about.
+    /// Hash of the `sid` query parameter.
     pub key: Option<u64>,
-    /// Expected work, as time on a standard core.
+    /// Expected work as time on a standard core, from `x-estimate`.
     pub cost_hint: Option<Nanos>,
-    /// Marked as a repeat.
+    /// Whether the client marked the request as a repeat, by `x-resent: 1`.
     pub repeat: bool,
 }
 
 impl<'a> RequestHead<'a> {
-    /// Reads a head.
+    /// Reads the values from a URI and headers.
     pub fn read(uri: &'a Uri, headers: &'a HeaderMap) -> Self {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let number = |name: &str| text(name).and_then(|value| value.parse::<u64>().ok());
@@ -46,7 +46,7 @@
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b))
 }
 
-/// A number for what the query says that a request is about.
+/// Returns the hash of the `sid` parameter of a query string.
 fn session_key(query: &str) -> Option<u64> {
     let text = query.split('&').find_map(|pair| pair.strip_prefix("sid="))?;
     let mut hasher = fnv::FnvHasher::default();
@@ -61,9 +61,9 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Any bytes that may stand in a head are read without a panic, and a figure only from plain digits.
+        /// Any valid header values are read without a panic, and a number is read only from plain digits.
         #[test]
-        fn any_head_is_read(
+        fn any_head_is_read_without_a_panic(
             path in "/[ -~&&[^#?{}<>\"` ^|\\\\]]{0,30}",
             fields in prop::collection::vec((0usize..7, prop::collection::vec(any::<u8>(), 0..24)), 0..8),
         ) {
@@ -75,8 +75,8 @@
                 }
             }
             let Ok(uri) = path.parse::<Uri>() else { return Ok(()) };
-            let asked = RequestHead::read(&uri, &headers);
-            if asked.remaining.is_some() {
+            let head = RequestHead::read(&uri, &headers);
+            if head.remaining.is_some() {
                 let text = headers["x-remaining-ms"].to_str().unwrap();
                 prop_assert!(text.trim_start_matches('+').bytes().all(|b| b.is_ascii_digit()), "{text}");
             }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that others may look at while hyper holds it, and one that tells what moves on it.
+//! A TCP stream that can be inspected while hyper owns it, and a stream that reports its traffic.
 
 use std::io::{self, IoSlice};
 use std::net::Shutdown;
@@ -14,20 +14,20 @@
 
 use crate::connection_timeouts::ConnectionTimeouts;
 
-/// One of several holders; the stream closes with the last.
+/// A TCP stream with shared ownership; it closes when the last owner is dropped.
 ///
-/// Reads and writes go on until the kernel says that nothing more moves for now. The runtime's own stream takes a read or
-/// write that moved less than it might for a sign of that, and would wait for ever where such a call was merely short.
+/// Reads and writes continue until the kernel reports that the call would block. The runtime's own stream takes a
+/// partial read or write as that sign, and would wait forever where such a call was merely short.
 pub struct SharedStream(pub Arc<TcpStream>);
 
 impl SharedStream {
-    /// The only holder.
+    /// Wraps a stream that has no other owner yet.
     pub fn new(stream: TcpStream) -> Self {
         SharedStream(Arc::new(stream))
     }
 }
 
-/// Whether a call that failed so has moved nothing and is made again, once the stream is ready.
+/// Returns whether a failed call transferred nothing and is to be repeated once the stream is ready.
 pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Tells a connection's [`Line`] what moves on its stream.
+/// A stream that reports its reads and writes to the [`ConnectionTimeouts`] of its connection.
 pub struct MonitoredStream<S> {
     stream: S,
     timeouts: Arc<ConnectionTimeouts>,
@@ -88,9 +88,9 @@
 }
 
 impl<S> MonitoredStream<S> {
-    /// `origin` is when the connection was accepted.
-    pub fn new(stream: S, line: Arc<ConnectionTimeouts>, origin: Instant) -> Self {
-        MonitoredStream { stream, timeouts: line, accepted_at: origin }
+    /// `accepted_at` is when the connection was accepted; reported times are relative to it.
+    pub fn new(stream: S, timeouts: Arc<ConnectionTimeouts>, accepted_at: Instant) -> Self {
+        MonitoredStream { stream, timeouts, accepted_at }
     }
 
     fn now(&self) -> Nanos {
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,10 +1,11 @@
-//! One connection to a server.
+//! A connection to a server.
 
 use super::*;
 
-pub(super) const MAX_BUFFER_BYTES: usize = 16 << 10; // bytes buffered of an answer: all connections together must fit in memory
+/// Bytes of a response that a connection buffers: the buffers of all connections together must fit in memory.
+pub(super) const MAX_BUFFER_BYTES: usize = 16 << 10;
 
-/// A connection that is not in use, or whose attempt is out; closed when it is dropped.
+/// A connection that is idle or carries one attempt; it is closed when dropped.
 pub struct Connection {
     pub(super) sender: SendRequest<AttemptBody>,
     pub(super) stream: Arc<TcpStream>,
@@ -13,6 +14,7 @@
     pub(super) slot: OwnedSemaphorePermit,
 }
 
+/// Aborts a task when dropped.
 pub(super) struct AbortOnDrop(pub(super) AbortHandle);
 
 impl Drop for AbortOnDrop {
@@ -22,8 +24,9 @@
 }
 
 impl Connection {
-    pub(super) async fn open(to: SocketAddr, slot: OwnedSemaphorePermit) -> io::Result<Self> {
-        let stream = TcpStream::connect(to).await?;
+    /// Connects to `address`; the connection occupies `slot` until it is dropped.
+    pub(super) async fn open(address: SocketAddr, slot: OwnedSemaphorePermit) -> io::Result<Self> {
+        let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let stream = Arc::new(stream);
         let io = TokioIo::new(SharedStream(stream.clone()));
@@ -33,26 +36,27 @@
             .await
             .map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
-            // How it ends shows at the attempt on it.
+            // An error is reported to the attempt on this connection.
             let _ = connection.await;
         });
-        Ok(Connection { sender, stream, address: to, _task: AbortOnDrop(task.abort_handle()), slot })
+        Ok(Connection { sender, stream, address, _task: AbortOnDrop(task.abort_handle()), slot })
     }
 
-    /// Whether it is known to have ended.
+    /// Returns whether the connection is known to have ended.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Whether it is open and silent, asking the socket itself: an end may not have been noticed yet.
+    /// Returns whether the connection is open and has no unread bytes. Checks the socket itself, because hyper may not
+    /// have noticed a close yet.
     pub(super) fn is_reusable(&self) -> bool {
-        let silent = || {
+        let has_no_unread_bytes = || {
             let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
             peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
         };
-        self.sender.is_ready() && silent()
+        self.sender.is_ready() && has_no_unread_bytes()
     }
 }
 
-/// A connection that is coming up.
+/// A connection that is being established.
 pub type PendingConnection = Pin<Box<dyn Future<Output = io::Result<Connection>> + Send>>;
--- a/crates/node/src/upstream/load_report.rs
+++ b/crates/node/src/upstream/load_report.rs
@@ -1,8 +1,8 @@
-//! A server's own account of its load.
+//! The load report of a server, from the `x-pressure` header of a response.
 
 use super::*;
 
-/// `TEXT name=value, name=value`; what is anything else is no report.
+/// Parses `TEXT name=value, name=value`; returns `None` for any other format and ignores invalid values.
 pub(super) fn load_report(value: &HeaderValue) -> Option<LoadReport> {
     let figures = value.to_str().ok()?.trim().strip_prefix("TEXT ")?;
     let mut report = LoadReport::default();
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, one attempt on one of them, and what became of it.
+//! Connections to servers, attempts on them, and the outcomes of attempts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::future::Future;
@@ -45,27 +45,29 @@
 pub use request::{RequestBody, UpstreamRequest};
 pub use server::Server;
 
-const UNKNOWN_LENGTH_BUFFERING: Duration = Duration::from_millis(20); // for an answer of unknown length, which may be a long one
-const KNOWN_LENGTH_BUFFERING: Duration = Duration::from_secs(86_400); // beyond any attempt, which ends it first
+/// Time for which a response of unknown length is buffered before it is streamed.
+const UNKNOWN_LENGTH_BUFFERING: Duration = Duration::from_millis(20);
+/// The same for a response of known length: longer than any attempt, whose timeout ends it first.
+const KNOWN_LENGTH_BUFFERING: Duration = Duration::from_secs(86_400);
 
-/// That something never happens.
+/// A time that is never reached.
 pub const NEVER: Nanos = Nanos::MAX;
 
-/// A 200's body, and the header that tells what is in it.
+/// The body of a response with status 200, and the headers that describe it.
 #[derive(Debug)]
 pub struct ServerResponse {
     pub content_type: Option<HeaderValue>,
-    /// Bytes that it would have, for a request that asks for nothing else.
+    /// `Content-Length`, which the reply to a HEAD request repeats.
     pub length: Option<HeaderValue>,
     pub body: ServerResponseBody,
 }
 
-/// What there is of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum ServerResponseBody {
-    /// All of it.
+    /// Complete, in memory.
     Buffered(BufferedBody),
-    /// Its beginning, and where the rest comes from.
+    /// Streamed from the server.
     Streamed(Box<Relay>),
 }
 
@@ -73,12 +75,14 @@
 pub struct AttemptOutcome {
     pub status: Status,
     pub response: Option<ServerResponse>,
+    /// The load report in the response.
     pub report: Option<LoadReport>,
-    /// When its last byte was handed on: its server worked from then on. None: never.
+    /// When the last byte of the request was handed to the connection, from which the server works on it. `None`:
+    /// never.
     pub sent_at: Option<Nanos>,
-    /// Left open for the next one.
+    /// The connection, if the next attempt can use it.
     pub connection: Option<Connection>,
-    /// Still coming up, for the next one.
+    /// A connection that is still being established and that the next attempt can use.
     pub pending_connection: Option<PendingConnection>,
 }
 
@@ -95,32 +99,33 @@
     }
 }
 
-/// One attempt at one server.
+/// One attempt to have a server answer a request.
 pub struct Attempt {
     pub server: Arc<Server>,
     pub request: Arc<UpstreamRequest>,
-    /// How long to wait for the answer from when the request is handed to a connection, or comes whole if it is long: a
-    /// connection that comes up late is no server's slow answer.
+    /// Time to wait for the response from when the request is handed to a connection, or from the last byte of a
+    /// streamed request. The time to connect is not counted as a slow response of the server.
     pub response_timeout: Nanos,
-    /// When to give up however late that was; a long one's time begins when it has come whole.
+    /// When to give up in any case. For a streamed request the time until then counts from its last byte.
     pub deadline: Nanos,
+    /// When the module chose the server.
     pub started: Nanos,
-    /// When it has to be written at the latest.
+    /// Latest time at which the request may be written.
     pub write_by: Nanos,
     pub buffer_budget: BufferBudget,
     pub connect_timeout: Nanos,
     pub clock: Clock,
-    /// Counts it, once its last byte is handed to the connection.
+    /// Counts the attempt once its last byte is handed to the connection.
     pub sent_attempts: AttemptCounter,
 }
 
 impl Attempt {
-    /// Runs until there is an answer or it expires; giving up closes the connection.
-    pub async fn run(self, way: ConnectionSource) -> AttemptOutcome {
-        let slot = match way {
+    /// Runs until there is a response or a timeout; a timeout closes the connection.
+    pub async fn run(self, source: ConnectionSource) -> AttemptOutcome {
+        let slot = match source {
             ConnectionSource::Pooled(connection) => match self.exchange(connection).await {
-                Ok(ended) => return ended,
-                // It had ended unnoticed and nothing was written: the attempt is yet to begin.
+                Ok(outcome) => return outcome,
+                // The pooled connection had ended and nothing was written, so the attempt uses a new one.
                 Err(unsent) => unsent.slot,
             },
             ConnectionSource::Connect(slot) => slot,
@@ -129,30 +134,33 @@
             Ok(connection) => {
                 self.exchange(connection).await.unwrap_or_else(|_| Status::ConnectFailed.into())
             }
-            Err(ended) => ended,
+            Err(outcome) => outcome,
         }
     }
 
-    /// A new connection. One that takes too long, or whose client leaves meanwhile, is left to come up by itself.
+    /// Opens a connection. If that takes too long, or the client leaves meanwhile, the outcome has the pending
+    /// connection.
     async fn connect(&self, slot: OwnedSemaphorePermit) -> Result<Connection, AttemptOutcome> {
         let now = self.clock.now();
-        let left = if self.request.upload().is_some() { NEVER } else { self.deadline.saturating_sub(now) };
-        let left = left.min(self.write_by.saturating_sub(now));
-        let within = Duration::from_nanos(self.connect_timeout.min(left));
-        let mut opening: PendingConnection = Box::pin(Connection::open(self.server.address, slot));
+        let time_left =
+            if self.request.upload().is_some() { NEVER } else { self.deadline.saturating_sub(now) };
+        let time_left = time_left.min(self.write_by.saturating_sub(now));
+        let connect_timeout = Duration::from_nanos(self.connect_timeout.min(time_left));
+        let mut pending_connection: PendingConnection = Box::pin(Connection::open(self.server.address, slot));
         let status = tokio::select! {
             biased;
             () = self.request.cancellation.cancelled() => Status::Moot,
-            opened = timeout(within, &mut opening) => match opened {
+            connected = timeout(connect_timeout, &mut pending_connection) => match connected {
                 Ok(Ok(connection)) => return Ok(connection),
                 Ok(Err(_)) => return Err(Status::ConnectFailed.into()),
                 Err(_) => Status::ConnectFailed,
             },
         };
-        Err(AttemptOutcome { pending_connection: Some(opening), ..status.into() })
+        Err(AttemptOutcome { pending_connection: Some(pending_connection), ..status.into() })
     }
 
-    /// Sends on this connection and waits for the answer, or returns it if it is certain that nothing was written.
+    /// Sends the request on this connection and waits for the response. Returns the connection as an error if it is
+    /// certain that nothing was written.
     async fn exchange(&self, connection: Connection) -> Result<AttemptOutcome, Connection> {
         let now = self.clock.now();
         if !self.server.accepts_sends(now) {
@@ -162,29 +170,34 @@
             return Ok(AttemptOutcome { connection: Some(connection), ..Status::Moot.into() });
         }
         if let Some(upload) = self.request.upload() {
-            let wait = self.response_timeout.min(self.deadline.saturating_sub(self.started));
-            let expired =
-                async { sleep_until(self.clock.instant(upload.wait_until_complete().await + wait)).await };
-            let ended = tokio::select! {
-                ended = self.send(connection, wait) => ended?,
-                () = expired => Status::Timeout.into(),
+            let response_timeout = self.response_timeout.min(self.deadline.saturating_sub(self.started));
+            let response_deadline = async {
+                sleep_until(self.clock.instant(upload.wait_until_complete().await + response_timeout)).await
             };
-            return Ok(AttemptOutcome { sent_at: upload.completed_at(), ..ended });
+            let outcome = tokio::select! {
+                outcome = self.send(connection, response_timeout) => outcome?,
+                () = response_deadline => Status::Timeout.into(),
+            };
+            return Ok(AttemptOutcome { sent_at: upload.completed_at(), ..outcome });
         }
-        let expires = now.saturating_add(self.response_timeout).min(self.deadline);
-        let sent = self.send(connection, expires.saturating_sub(now));
-        let ended = match timeout_at(self.clock.instant(expires), sent).await {
-            Ok(ended) => ended?,
+        let deadline = now.saturating_add(self.response_timeout).min(self.deadline);
+        let sent = self.send(connection, deadline.saturating_sub(now));
+        let outcome = match timeout_at(self.clock.instant(deadline), sent).await {
+            Ok(outcome) => outcome?,
             Err(_) => Status::Timeout.into(),
         };
-        Ok(AttemptOutcome { sent_at: Some(now), ..ended })
+        Ok(AttemptOutcome { sent_at: Some(now), ..outcome })
     }
 
-    async fn send(&self, mut connection: Connection, wait: Nanos) -> Result<AttemptOutcome, Connection> {
+    /// Sends the request and receives the response, without a timeout; errors as in [`Self::exchange`].
+    async fn send(
+        &self, mut connection: Connection, response_timeout: Nanos,
+    ) -> Result<AttemptOutcome, Connection> {
         let upload = self.request.upload();
-        let request = self.request.build(self.server.address, Duration::from_nanos(wait));
+        let request = self.request.build(self.server.address, Duration::from_nanos(response_timeout));
         let sent = connection.sender.try_send_request(request);
-        // An unsent one is off by one for as long as it takes to be sent elsewhere, and goes there at once.
+        // A request that turns out to be unsent is counted one too many until it is decremented below, and is then sent
+        // on another connection at once.
         if upload.is_none() {
             self.sent_attempts.increment();
         }
@@ -201,7 +214,8 @@
                     }
                     Err(connection)
                 }
-                // Before its last byte is written no server starts on it; who stopped sending is no server's fault.
+                // No server starts on a request before its last byte; a client that stopped sending is not the server's
+                // fault.
                 None => Ok(match upload {
                     Some(upload) if upload.is_stalled() => Status::Moot,
                     Some(upload) if upload.completed_at().is_none() => Status::ConnectFailed,
@@ -212,6 +226,7 @@
         }
     }
 
+    /// Reads the response and determines the outcome of the attempt.
     async fn receive(&self, connection: Connection, response: Response<Incoming>) -> AttemptOutcome {
         let (mut head, mut body) = response.into_parts();
         let report = head.headers.get("x-pressure").and_then(load_report);
@@ -221,50 +236,46 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Status::Full,
             _ => Status::Error,
         };
-        let came = Instant::now();
-        let known = body.size_hint().exact().is_some();
-        let next = |_| {
-            (
-                if known { came + KNOWN_LENGTH_BUFFERING } else { came + UNKNOWN_LENGTH_BUFFERING },
-                OnTimeout::Stream,
-            )
-        };
-        let mut gathered = match buffer_body(&mut body, &self.buffer_budget, next).await {
-            Ok(gathered) => gathered,
+        let received_at = Instant::now();
+        let has_known_length = body.size_hint().exact().is_some();
+        let buffering = if has_known_length { KNOWN_LENGTH_BUFFERING } else { UNKNOWN_LENGTH_BUFFERING };
+        let wait_limit = |_| (received_at + buffering, OnTimeout::Stream);
+        let mut prefix = match buffer_body(&mut body, &self.buffer_budget, wait_limit).await {
+            Ok(prefix) => prefix,
             Err(_) => return AttemptOutcome { report, ..Status::Reset.into() },
         };
         if status != Status::Ok {
-            let connection = Some(connection).filter(|_| gathered.is_complete); // the rest of it interests nobody
+            let connection = Some(connection).filter(|_| prefix.is_complete); // the rest of an error body is not needed
             return AttemptOutcome {
                 report,
                 connection: self.if_reusable(connection).await,
                 ..status.into()
             };
         }
-        if !gathered.is_complete && gathered.bytes.is_empty() {
-            // Until there is a first byte another server may still answer.
+        if !prefix.is_complete && prefix.bytes.is_empty() {
+            // Until there is a first byte, another server may still answer.
             match body.frame().await {
-                None => gathered.is_complete = true,
-                Some(Ok(frame)) => gathered.bytes = frame.into_data().unwrap_or_default(),
+                None => prefix.is_complete = true,
+                Some(Ok(frame)) => prefix.bytes = frame.into_data().unwrap_or_default(),
                 Some(Err(_)) => return AttemptOutcome { report, ..Status::Reset.into() },
             }
         }
         let content_type = head.headers.remove(header::CONTENT_TYPE);
         let length = head.headers.remove(header::CONTENT_LENGTH);
-        let (body, connection) = if gathered.is_complete {
-            (ServerResponseBody::Buffered(gathered.into()), self.if_reusable(Some(connection)).await)
+        let (body, connection) = if prefix.is_complete {
+            (ServerResponseBody::Buffered(prefix.into()), self.if_reusable(Some(connection)).await)
         } else {
-            (ServerResponseBody::Streamed(Box::new(Relay::new(gathered, body, connection))), None)
+            (ServerResponseBody::Streamed(Box::new(Relay::new(prefix, body, connection))), None)
         };
-        let answer = Some(ServerResponse { content_type, length, body });
-        AttemptOutcome { response: answer, report, connection, ..status.into() }
+        let response = Some(ServerResponse { content_type, length, body });
+        AttemptOutcome { response, report, connection, ..status.into() }
     }
 
-    /// The connection, if another request may follow on it.
+    /// Returns the connection if another request may follow on it.
     async fn if_reusable(&self, connection: Option<Connection>) -> Option<Connection> {
         let connection = connection?;
         if !connection.sender.is_ready() {
-            yield_now().await; // hyper's task comes to the end of the message in its own turn
+            yield_now().await; // lets hyper's task process the end of the message
         }
         Some(connection).filter(|c| c.sender.is_ready())
     }
--- a/crates/node/src/upstream/relay.rs
+++ b/crates/node/src/upstream/relay.rs
@@ -1,4 +1,4 @@
-//! A long answer as it passes from a server's connection to a client.
+//! A streamed response on its way from a server's connection to a client.
 
 use std::collections::VecDeque;
 use std::pin::Pin;
@@ -11,15 +11,15 @@
 use crate::body::{BodyPrefix, BufferReservation};
 use crate::metrics::RequestEnd;
 
-/// Takes how a long answer has ended, with its connection where that may serve another request.
+/// Receives how a streamed response has ended, and its connection if that can serve another request.
 type EndCallback = Box<dyn FnOnce(RequestEnd, Option<Connection>) + Send>;
 
-/// A long answer on its way to a client. However it ends, whoever asked for that is told.
+/// The body of a streamed response. The callback set by [`Relay::on_end`] is called however the response ends.
 pub struct Relay {
     buffered: VecDeque<Bytes>,
     reservation: BufferReservation,
     rest: Incoming,
-    bytes_left: Option<u64>, // bytes that are still to go, where the length was told
+    bytes_left: Option<u64>, // bytes still to be sent; `None` if the length is unknown
     connection: Option<Connection>,
     end_callback: Option<EndCallback>,
 }
@@ -31,14 +31,14 @@
 }
 
 impl Relay {
-    /// What was gathered of the answer, and the rest, with the connection on which it comes.
-    pub fn new(gathered: BodyPrefix, rest: Incoming, connection: Connection) -> Self {
-        let left = rest.size_hint().exact().map(|rest| rest + gathered.bytes.len() as u64);
-        let BodyPrefix { bytes: held, reservation: share, .. } = gathered;
-        let held = VecDeque::from_iter(Some(held).filter(|held| !held.is_empty()));
+    /// Creates the body from the prefix that was read, the rest, and the connection that it arrives on.
+    pub fn new(prefix: BodyPrefix, rest: Incoming, connection: Connection) -> Self {
+        let left = rest.size_hint().exact().map(|rest| rest + prefix.bytes.len() as u64);
+        let BodyPrefix { bytes: buffered, reservation, .. } = prefix;
+        let buffered = VecDeque::from_iter(Some(buffered).filter(|buffered| !buffered.is_empty()));
         Relay {
-            buffered: held,
-            reservation: share,
+            buffered,
+            reservation,
             rest,
             bytes_left: left,
             connection: Some(connection),
@@ -46,15 +46,15 @@
         }
     }
 
-    /// Calls `report` once when it has ended.
-    pub fn on_end(&mut self, report: impl FnOnce(RequestEnd, Option<Connection>) + Send + 'static) {
-        self.end_callback = Some(Box::new(report));
+    /// Calls `callback` once, when the response has ended.
+    pub fn on_end(&mut self, callback: impl FnOnce(RequestEnd, Option<Connection>) + Send + 'static) {
+        self.end_callback = Some(Box::new(callback));
     }
 
     fn end(&mut self, end: RequestEnd) {
         let connection = self.connection.take().filter(|_| end == RequestEnd::Completed);
-        if let Some(report) = self.end_callback.take() {
-            report(end, connection);
+        if let Some(callback) = self.end_callback.take() {
+            callback(end, connection);
         }
     }
 }
@@ -67,7 +67,7 @@
         mut self: Pin<&mut Self>, cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let data = match self.buffered.pop_front() {
-            Some(held) => held,
+            Some(buffered) => buffered,
             None => {
                 self.reservation = None;
                 match ready!(Pin::new(&mut self.rest).poll_frame(cx)) {
@@ -79,7 +79,8 @@
                         self.end(RequestEnd::Failed);
                         return Poll::Ready(Some(Err(error)));
                     }
-                    Some(Ok(frame)) => frame.into_data().unwrap_or_default(), // trailers are the hop's own
+                    // Trailers are not forwarded: they belong to one hop.
+                    Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 }
             }
         };
@@ -101,6 +102,6 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.end(RequestEnd::ClientLeft); // nobody wants the rest; after an end it changes nothing
+        self.end(RequestEnd::ClientLeft); // the client does not read the rest; has no effect after an earlier end
     }
 }
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -1,28 +1,30 @@
-//! A client's request as it goes on to servers.
+//! A client's request as it is sent to servers.
 
 use super::*;
 
-/// A client's request as it goes on to servers.
+/// A client's request as it is sent to servers.
 pub struct UpstreamRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: RequestBody,
-    /// Its client has left or has its answer: what is not yet written must not be. Set by whoever sees it first, so
-    /// that no queue stands between a client that leaves and an attempt that is about to begin.
+    /// Cancelled when the client has left or has its response: attempts not yet written must not be sent. Whoever
+    /// notices first cancels it, so that no queue delays the effect on an attempt that is about to begin.
     pub cancellation: CancellationToken,
 }
 
-/// The body of a client's request.
+/// The body of a client request.
 pub enum RequestBody {
-    /// All of it, for as many attempts as are made.
+    /// In memory, for any number of attempts.
     Buffered(BufferedBody),
-    /// It passes through.
+    /// Streamed from the client, for one attempt.
     Streamed(Arc<Upload>),
 }
 
+/// Header with the time that the sender waits for a response, in milliseconds.
 pub(super) const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
 
+/// Headers that are not forwarded.
 pub(super) const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -32,32 +34,35 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
     header::EXPECT,
-    header::CONTENT_LENGTH, // framing is stated anew
+    header::CONTENT_LENGTH, // the node sets the framing of the forwarded request
 ];
 
 impl UpstreamRequest {
+    /// Creates the request to forward; removes the hop-by-hop headers.
     pub fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: RequestBody) -> Self {
-        let listed: Vec<HeaderName> = headers
+        let connection_options: Vec<HeaderName> = headers
             .get_all(header::CONNECTION)
             .iter()
             .filter_map(|value| value.to_str().ok())
             .flat_map(|names| names.split(','))
             .filter_map(|name| name.trim().parse().ok())
             .collect();
-        // What the protocol sends on is no hop's own, whatever a client lists.
-        let kept = |name: &HeaderName| matches!(name.as_str(), "x-txn" | "idempotency-key" | "host");
-        for name in HOP_BY_HOP.iter().chain(listed.iter().filter(|name| !kept(name))) {
+        // The protocol requires these headers to be forwarded, even if the client lists them in `Connection`.
+        let must_be_forwarded =
+            |name: &HeaderName| matches!(name.as_str(), "x-txn" | "idempotency-key" | "host");
+        for name in HOP_BY_HOP.iter().chain(connection_options.iter().filter(|name| !must_be_forwarded(name)))
+        {
             headers.remove(name);
         }
         UpstreamRequest { method, uri, headers, body, cancellation: CancellationToken::new() }
     }
 
-    /// What its client calls it, for the log.
+    /// Returns the transaction id that the client gave, for the log.
     pub fn txn(&self) -> &str {
         self.headers.get("x-txn").and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 
-    /// The long body, where it has one.
+    /// Returns the streamed body, if the request has one.
     pub fn upload(&self) -> Option<&Arc<Upload>> {
         match &self.body {
             RequestBody::Buffered(_) => None,
@@ -65,7 +70,8 @@
         }
     }
 
-    pub(super) fn build(&self, to: SocketAddr, wait: Duration) -> Request<AttemptBody> {
+    /// Builds the request for one attempt; `timeout` is sent as the remaining time.
+    pub(super) fn build(&self, address: SocketAddr, timeout: Duration) -> Request<AttemptBody> {
         let mut request = Request::new(match &self.body {
             RequestBody::Buffered(body) => {
                 AttemptBody::Buffered(Some(body.bytes.clone()).filter(|body| !body.is_empty()))
@@ -77,9 +83,12 @@
         *request.headers_mut() = self.headers.clone();
         let headers = request.headers_mut();
         if !headers.contains_key(header::HOST) {
-            headers.insert(header::HOST, HeaderValue::try_from(to.to_string()).expect("an address is plain"));
+            headers.insert(
+                header::HOST,
+                HeaderValue::try_from(address.to_string()).expect("a socket address is a valid header value"),
+            );
         }
-        headers.insert(REMAINING_MS, (wait.as_millis() as u64).into());
+        headers.insert(REMAINING_MS, (timeout.as_millis() as u64).into());
         request
     }
 }
--- a/crates/node/tests/fuzz.rs
+++ b/crates/node/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever stands in a platform's configuration, checking it ends in a verdict that names a fault.
+//! Validation of any platform configuration returns success or an error that names the invalid part.
 
 use merlinfold_node::Config;
 use proptest::prelude::*;
@@ -17,21 +17,21 @@
             "Obligations": {"StopSendingWithin": 500_000, "RampTime": 1, "TipAfter": 1}}})
 }
 
-/// Paths of all values.
-fn paths(value: &Value, at: String, all: &mut Vec<String>) {
+/// Collects the JSON pointers of all values.
+fn paths(value: &Value, at: String, pointers: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(name, value)| paths(value, format!("{at}/{name}"), all));
+            fields.iter().for_each(|(name, value)| paths(value, format!("{at}/{name}"), pointers));
         }
         Value::Array(values) => {
-            values.iter().enumerate().for_each(|(n, value)| paths(value, format!("{at}/{n}"), all));
+            values.iter().enumerate().for_each(|(n, value)| paths(value, format!("{at}/{n}"), pointers));
         }
         _ => {}
     }
-    all.push(at);
+    pointers.push(at);
 }
 
-fn odd() -> impl Strategy<Value = Value> {
+fn unexpected_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
         Just(json!([])),
@@ -50,39 +50,43 @@
     #![proptest_config(ProptestConfig { cases: 800, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_value_at_any_place_ends_in_a_verdict(edits in prop::collection::vec((any::<usize>(), odd()), 0..4)) {
+    fn validation_of_arbitrary_values_returns_a_result(
+        edits in prop::collection::vec((any::<usize>(), unexpected_value()), 0..4)
+    ) {
         let mut config = valid();
-        let whole = edits.is_empty();
+        let is_unchanged = edits.is_empty();
         for (place, value) in edits {
-            let mut all = Vec::new();
-            paths(&config, String::new(), &mut all);
-            if let Some(target) = config.pointer_mut(&all[place % all.len()]) {
+            let mut pointers = Vec::new();
+            paths(&config, String::new(), &mut pointers);
+            if let Some(target) = config.pointer_mut(&pointers[place % pointers.len()]) {
                 *target = value;
             }
         }
         match Config::validate(&config.to_string()) {
             Ok(()) => {}
-            Err(fault) => prop_assert!(!whole && fault.len() > 3, "{}", fault),
+            Err(error) => prop_assert!(!is_unchanged && error.len() > 3, "{}", error),
         }
     }
 
     #[test]
-    fn any_text_ends_in_a_verdict_with_its_line(cut in any::<usize>(), byte in any::<u8>(), at in any::<usize>()) {
+    fn validation_of_arbitrary_text_returns_a_result_with_a_valid_line(
+        cut in any::<usize>(), byte in any::<u8>(), at in any::<usize>()
+    ) {
         let mut text = serde_json::to_vec_pretty(&valid()).unwrap();
         let length = text.len();
         text[at % length] = byte;
         text.truncate(cut % (length + 1));
         let text = String::from_utf8_lossy(&text);
-        if let Err(fault) = Config::validate(&text) {
-            let line = fault.split(':').next().and_then(|line| line.trim().parse::<usize>().ok());
+        if let Err(error) = Config::validate(&text) {
+            let line = error.split(':').next().and_then(|line| line.trim().parse::<usize>().ok());
             prop_assert!(line.is_none_or(|line| line <= length));
         }
     }
 }
 
-/// Guards the start: a limit is a number, however it is written.
+/// Guards the start of a node: a limit may be written as an integer or with a decimal point.
 #[test]
-fn a_limit_of_memory_may_have_a_point_or_be_absent() {
+fn a_memory_limit_may_be_fractional_or_absent() {
     for memory in [json!(48), json!(48.0), json!(0.5), Value::Null] {
         let mut config = valid();
         config["limits"]["memory_mb"] = memory.clone();
--- a/crates/node/tests/module_graph.rs
+++ b/crates/node/tests/module_graph.rs
@@ -1,14 +1,14 @@
-//! The modules of the crate depend on each other in one direction.
+//! Checks that the dependencies between the top modules of the crate have no cycle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// The crate root, as a module among the others.
+/// Name of the crate root in the graph.
 const ROOT: &str = "crate";
 
 type Graph = BTreeMap<String, BTreeSet<String>>;
 
-/// All source files at or below a path.
+/// Returns all source files at or below a path.
 fn files(path: &Path) -> Vec<PathBuf> {
     if path.is_file() {
         return vec![path.to_owned()];
@@ -17,12 +17,12 @@
     entries.flat_map(|entry| files(&entry)).collect()
 }
 
-/// The text without comments, which may name modules freely.
+/// Returns the text without comments, whose module names are no dependencies.
 fn without_comments(text: &str) -> String {
     text.lines().map(|line| line.split("//").next().unwrap_or_default()).collect::<Vec<_>>().join("\n")
 }
 
-/// The first names of the items in `{a::x, b::{c, d}}`, or of one path.
+/// Returns the first segments of the paths in `{a::x, b::{c, d}}`, or of a single path.
 fn first_names(path: &str) -> Vec<String> {
     let name = |path: &str| -> String {
         path.trim_start().chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect()
@@ -43,14 +43,14 @@
     names
 }
 
-/// What follows each `crate::` in the text, as the module that it names; any other item is the root's.
+/// Returns the module named by each `crate::` path in the text; any other item belongs to the root.
 fn named_from_root(text: &str, modules: &BTreeSet<String>) -> BTreeSet<String> {
     let paths = text.split("crate::").skip(1);
     let names = paths.flat_map(first_names).filter(|name| !name.is_empty());
     names.map(|name| if modules.contains(&name) { name } else { ROOT.to_owned() }).collect()
 }
 
-/// Whether the root names an item of the module; that it declares it is no use.
+/// Returns whether the root uses an item of the module. The declaration of the module does not count.
 fn is_named_in_root(text: &str, module: &str) -> bool {
     let is_part_of_name = |c: char| c.is_alphanumeric() || c == '_' || c == ':';
     let path = format!("{module}::");
@@ -58,14 +58,14 @@
     places.any(|before| !before.ends_with(is_part_of_name))
 }
 
-/// The code of one file below a module, in which every path to the crate's root begins with `crate::`.
+/// Returns the code of one file of a module, with every path to the crate root starting with `crate::`.
 fn code(module: &Path, file: &Path) -> String {
     let text = without_comments(&std::fs::read_to_string(file).unwrap());
     let is_top = file == module || file.file_name().is_some_and(|name| name == "mod.rs");
     text.replace(if is_top { "super::" } else { "super::super::" }, "crate::")
 }
 
-/// Which modules at the top of the crate name items of which others.
+/// Returns which top modules of the crate use items of which others.
 fn module_graph(source: &Path) -> Graph {
     let root = without_comments(&std::fs::read_to_string(source.join("lib.rs")).unwrap());
     let declared = root.lines().filter_map(|line| line.trim_start_matches("pub ").strip_prefix("mod "));
@@ -86,9 +86,9 @@
     graph
 }
 
-/// The modules that are left once those that depend on nothing that is left are taken away, again and again: those in a
-/// circle, and those that depend on one.
-fn entangled(mut graph: Graph) -> Graph {
+/// Repeatedly removes the modules without dependencies on a remaining module. Returns the rest: the modules in a cycle,
+/// and those that depend on one.
+fn remove_acyclic(mut graph: Graph) -> Graph {
     loop {
         let free: Vec<String> =
             graph.iter().filter(|(_, uses)| uses.is_empty()).map(|(module, _)| module.clone()).collect();
@@ -109,16 +109,16 @@
     edges.iter().map(|(module, uses)| ((*module).to_owned(), set(uses))).collect()
 }
 
-/// Guards the order of the modules: a circle of them can only be understood, tested and changed as one.
+/// Guards the layering of the modules: those in a cycle can only be understood, tested and changed together.
 #[test]
-fn no_module_depends_on_itself_through_others() {
-    let left = entangled(module_graph(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src")));
-    assert!(left.is_empty(), "these modules form a circle, or depend on one: {left:#?}");
+fn the_module_graph_has_no_cycle() {
+    let left = remove_acyclic(module_graph(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src")));
+    assert!(left.is_empty(), "these modules form a cycle, or depend on one: {left:#?}");
 }
 
-/// Guards the guard: it sees the uses that there are.
+/// Guards the check itself: it finds the existing dependencies.
 #[test]
-fn the_uses_of_modules_are_seen() {
+fn existing_dependencies_are_found() {
     let graph = module_graph(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
     let uses = |module: &str, used: &str| graph[module].contains(used);
     assert!(uses("driver", "input") && uses("input", "upstream") && uses("upstream", "body"));
@@ -126,19 +126,19 @@
     assert!(graph.values().map(BTreeSet::len).sum::<usize>() > graph.len(), "{graph:#?}");
 }
 
-/// Guards the guard: it finds a circle, and only that.
+/// Guards the check itself: it finds a cycle, and nothing in a graph without one.
 #[test]
-fn a_circle_is_found() {
-    let straight = [("a", &["b", "c"][..]), ("b", &["c"]), ("c", &[])];
-    assert!(entangled(graph(&straight)).is_empty());
-    let circle = [("a", &["b"][..]), ("b", &["c"]), ("c", &["b", "d"]), ("d", &[])];
-    let left: Vec<String> = entangled(graph(&circle)).into_keys().collect();
+fn a_cycle_is_found() {
+    let acyclic = [("a", &["b", "c"][..]), ("b", &["c"]), ("c", &[])];
+    assert!(remove_acyclic(graph(&acyclic)).is_empty());
+    let cyclic = [("a", &["b"][..]), ("b", &["c"]), ("c", &["b", "d"]), ("d", &[])];
+    let left: Vec<String> = remove_acyclic(graph(&cyclic)).into_keys().collect();
     assert_eq!(left, ["a", "b", "c"]);
 }
 
-/// Guards the guard: grouped uses count as each of theirs, comments not at all.
+/// Guards the check itself: grouped imports count one by one, and comments are ignored.
 #[test]
-fn uses_are_read_in_all_their_forms() {
+fn all_forms_of_imports_are_recognized() {
     let modules = ["body", "input", "room"].map(str::to_owned).into();
     let of = |text: &str| named_from_root(&without_comments(text), &modules).into_iter().collect::<Vec<_>>();
     assert_eq!(of("use crate::body::{A, B};\nlet x = crate::room::new();"), ["body", "room"]);
--- a/crates/node/tests/unit/driver.rs
+++ b/crates/node/tests/unit/driver.rs
@@ -28,27 +28,27 @@
     from_value(json!({"index": 1, "snapshot": true, "endpoints": [line]})).unwrap()
 }
 
-/// Guards cold servers: when one started is told in Unix time, and the module's clock is the same.
+/// Guards the ramp-up of cold servers: discovery reports start times in Unix time, which the module's clock uses too.
 #[test]
-fn a_start_is_told_on_the_module_s_clock_and_0_stays_long_ago() {
+fn start_time_is_converted_to_the_module_clock_and_0_stays_0() {
     let (mut driver, _inputs) = driver();
     let at = "127.0.0.1:1".parse().unwrap();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let now = driver.clock.now();
     let since = driver.server_entry(&list("s", at, unix - 2_000).endpoints[0], now, None).since;
     let age = driver.clock.now() - since;
-    assert!((1_999_000_000..60_000_000_000).contains(&age), "{age} ns old instead of 2 s");
+    assert!((1_999_000_000..60_000_000_000).contains(&age), "{age} ns old, expected 2 s");
     assert_eq!(driver.server_entry(&list("s", at, 0).endpoints[0], now, None).since, 0);
 }
 
-/// Guards drains: a request is decided on with the list that came in with it, though read before it.
+/// Guards drains: the decision on a request uses a list that arrived in the same batch, even if the request came first.
 #[tokio::test]
-async fn news_goes_in_before_the_requests_that_came_with_it() {
+async fn a_list_is_applied_before_requests_of_the_same_batch() {
     let (old, new) =
         (TcpListener::bind("127.0.0.1:0").await.unwrap(), TcpListener::bind("127.0.0.1:0").await.unwrap());
     let (mut driver, inputs) = driver();
     driver.load_known_list(list("old", old.local_addr().unwrap(), 0), false);
-    let outgoing = UpstreamRequest::new(
+    let upstream_request = UpstreamRequest::new(
         Method::GET,
         Uri::from_static("/"),
         HeaderMap::new(),
@@ -64,7 +64,7 @@
         cost_hint: None,
         repeat: false,
         client_deadline: expires,
-        outgoing: Arc::new(outgoing),
+        upstream_request: Arc::new(upstream_request),
         client,
     };
     let sender = driver.sender();
@@ -73,15 +73,16 @@
     let running = tokio::spawn(driver.run(inputs));
     tokio::select! {
         _ = new.accept() => {}
-        _ = old.accept() => panic!("it went to the server that the list no longer has"),
-        () = tokio::time::sleep(Duration::from_secs(10)) => panic!("it went nowhere"),
+        _ = old.accept() => panic!("the request went to the server that is no longer in the list"),
+        () = tokio::time::sleep(Duration::from_secs(10)) => panic!("no attempt was made"),
     }
     running.abort();
 }
 
-/// Guards clients: what the first answer of discovery tells may have begun long before this node did.
+/// Guards the ramp-up of servers: a start in the first answer of discovery may be long before the start of this node,
+/// while a start that an earlier answer did not contain is bounded by the time of that answer.
 #[test]
-fn only_a_start_that_an_earlier_answer_did_not_tell_is_bounded_by_it() {
+fn start_time_is_bounded_only_by_an_earlier_answer_without_it() {
     let (mut driver, _inputs) = driver();
     let at = "127.0.0.1:1".parse().unwrap();
     let hour_ago = (driver.clock.now() / MILLISECOND) - 3_600_000;
@@ -89,7 +90,7 @@
     driver.load_known_list(list("known", at, 0), false);
     driver.apply_list(ListKind::Partial, partial("first", hour_ago));
     assert_eq!(driver.start_times.local(1, hour_ago * MILLISECOND, 0, None), hour_ago * MILLISECOND);
-    let heard = driver.list_received_at.expect("discovery has answered");
+    let received_at = driver.list_received_at.expect("discovery has answered");
     driver.apply_list(ListKind::Partial, partial("second", hour_ago));
-    assert_eq!(driver.start_times.local(2, hour_ago * MILLISECOND, 0, None), heard);
+    assert_eq!(driver.start_times.local(2, hour_ago * MILLISECOND, 0, None), received_at);
 }
--- a/crates/node/tests/unit/front.rs
+++ b/crates/node/tests/unit/front.rs
@@ -4,8 +4,9 @@
 use merlinfold_decide::interface::{Class, Effect, Placement};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// What a peer gets that sends this and then nothing more, and after which time the connection ends.
-async fn sent(text: &str) -> (String, Duration) {
+/// Sends `text` and nothing more on a new connection. Returns the response and the time after which the connection
+/// ended.
+async fn send_incomplete(text: &str) -> (String, Duration) {
     let (inputs, _held) = tokio::sync::mpsc::unbounded_channel();
     let mut names = Names::default();
     names.classes.number("read");
@@ -27,26 +28,26 @@
         Capacity::new(256, 1 << 20, false),
         posture,
     ));
-    let (_close, closing) = watch::channel(false);
+    let (_close, close_requested) = watch::channel(false);
     let slot = front.capacity.clients.acquire().await;
     let (mut peer, stream) = tokio::io::duplex(1 << 20);
-    let begun = Instant::now();
+    let started = Instant::now();
     let serving = front.clone();
     let connection = tokio::spawn(async move {
-        serving.serve_connection(stream, None, closing).await;
+        serving.serve_connection(stream, None, close_requested).await;
         drop(slot);
     });
     peer.write_all(text.as_bytes()).await.unwrap();
     let mut answer = String::new();
     let _ = peer.read_to_string(&mut answer).await;
     connection.await.unwrap();
-    assert_eq!(front.capacity.clients.in_use(), 0, "the slot is free again");
-    (answer, begun.elapsed())
+    assert_eq!(front.capacity.clients.in_use(), 0, "the slot is released");
+    (answer, started.elapsed())
 }
 
-/// Guards clients' slots: a peer that sends no proper request holds one for less than 3 s.
+/// Guards the client slots: a peer that sends no valid request occupies a slot for less than 3 s.
 #[tokio::test(start_paused = true)]
-async fn who_sends_no_proper_request_gets_an_error_or_a_close_within_3_s() {
+async fn an_invalid_or_incomplete_request_gets_an_error_or_a_close_within_3_s() {
     let head = "POST /read HTTP/1.1\r\nHost: x\r\nX-Txn: 9b1f03aa5c7e2d41\r\n";
     let cases = [
         (String::new(), ""),
@@ -58,21 +59,21 @@
         (format!("{head}X-Fill: {}", "x".repeat(2 * MAX_BUFFER_BYTES)), "HTTP/1.1 431"),
     ];
     for (text, answer) in cases {
-        let (got, after) = sent(&text).await;
+        let (response, after) = send_incomplete(&text).await;
         let shown = &text[..text.len().min(100)];
-        assert!(after < Duration::from_secs(3), "{shown:?} held its slot for {after:?}");
-        assert!(got.starts_with(answer), "{shown:?} got {got:?}");
+        assert!(after < Duration::from_secs(3), "{shown:?} occupied its slot for {after:?}");
+        assert!(response.starts_with(answer), "{shown:?} got {response:?}");
     }
 }
 
 #[test]
-fn only_what_a_hold_up_kept_waiting_counts_from_its_beginning() {
+fn only_requests_delayed_by_a_stall_count_from_its_beginning() {
     let ms = |n: u64| n * 1_000_000;
     let stalls = StallDetector::new(ms(1_000));
     stalls.heartbeat(ms(1_010));
     assert_eq!(stalls.arrival(ms(1_015)), ms(1_015));
-    assert_eq!(stalls.arrival(ms(1_200)), ms(1_010), "found before the next beat");
+    assert_eq!(stalls.arrival(ms(1_200)), ms(1_010), "read before the next heartbeat");
     stalls.heartbeat(ms(1_200));
-    assert_eq!(stalls.arrival(ms(1_201)), ms(1_010), "found after it");
-    assert_eq!(stalls.arrival(ms(1_205)), ms(1_205), "the hold-up is over");
+    assert_eq!(stalls.arrival(ms(1_201)), ms(1_010), "read just after that heartbeat");
+    assert_eq!(stalls.arrival(ms(1_205)), ms(1_205), "the stall is over");
 }
--- a/crates/node/tests/unit/reconfigured.rs
+++ b/crates/node/tests/unit/reconfigured.rs
@@ -25,7 +25,8 @@
     (Driver::new(balancer, names, clock, limits, capacity, sender), active)
 }
 
-/// A document all parts of which say which one it is: the tenant, and the most requests open at once.
+/// Returns a document whose number shows in each part: the tenant, the limit on open requests, and the aim of the
+/// class.
 fn document(number: u64) -> Document {
     let mut document = Document::default();
     let tenant = Tenant { share: 0, requests_per_1000_s: Some(number) };
@@ -47,7 +48,7 @@
 
 fn request(driver: &Driver, id: u64, tenant: &str) -> (Input, oneshot::Receiver<Reply>) {
     let body = RequestBody::Buffered(BufferedBody::small(Bytes::new()));
-    let outgoing = UpstreamRequest::new(Method::GET, Uri::from_static("/"), HeaderMap::new(), body);
+    let upstream_request = UpstreamRequest::new(Method::GET, Uri::from_static("/"), HeaderMap::new(), body);
     let (client, reply) = oneshot::channel();
     let arrival = ClientRequest {
         id: RequestId(id),
@@ -57,17 +58,19 @@
         cost_hint: None,
         repeat: false,
         client_deadline: driver.clock.now() + 5_000_000_000,
-        outgoing: Arc::new(outgoing),
+        upstream_request: Arc::new(upstream_request),
         client,
     };
     (Input::Request(arrival), reply)
 }
 
 proptest! {
-    /// Guards "all of the old or all of the new": whatever the order in which revisions and requests come in, each
-    /// request meets one revision in all of its parts.
+    /// Guards the atomicity of revisions: in any order of revisions and requests, each request sees all parts of one
+    /// revision.
     #[test]
-    fn a_request_meets_all_of_one_revision(changes in proptest::collection::vec(any::<bool>(), 1..40)) {
+    fn a_request_sees_all_parts_of_exactly_one_revision(
+        changes in proptest::collection::vec(any::<bool>(), 1..40)
+    ) {
         let (mut driver, mut active) = driver();
         let mut number = 0;
         for (n, changes) in changes.into_iter().enumerate() {
@@ -93,9 +96,10 @@
     }
 }
 
-/// The same at the edge: one request fits before the revision and not behind it, though both came in together.
+/// Guards the atomicity of revisions for the limit on open requests: two requests before the revision are accepted, and
+/// one after it is refused.
 #[tokio::test]
-async fn a_limit_holds_from_the_revision_on_that_sets_it() {
+async fn a_limit_applies_to_requests_after_its_revision() {
     let (mut driver, mut active) = driver();
     let (first, _first_reply) = request(&driver, 1, "nobody");
     let (second, _second_reply) = request(&driver, 2, "nobody");
@@ -109,14 +113,14 @@
     assert!(driver.requests.contains_key(&RequestId(1)) && driver.requests.contains_key(&RequestId(2)));
 }
 
-/// The same of the module: a client's repeat that has no time left of its aim is turned away at once, and the revision
-/// makes that aim 1 ms where it was 4 s.
+/// Guards the atomicity of revisions in the module: a client's repeat with no time left of its aim is refused at once.
+/// The revision reduces the aim from 4 s to 1 ms.
 #[tokio::test]
-async fn the_module_decides_by_the_figures_of_the_revision() {
+async fn the_module_uses_the_class_aim_of_the_revision() {
     let (mut driver, mut active) = driver();
     let repeat = |driver: &Driver, id| {
         let (input, reply) = request(driver, id, "nobody");
-        let Input::Request(arrival) = input else { panic!("it is one") };
+        let Input::Request(arrival) = input else { panic!("expected a request") };
         let expires = driver.clock.now() + 3_000_000_000;
         (Input::Request(ClientRequest { repeat: true, client_deadline: expires, ..arrival }), reply)
     };
@@ -131,15 +135,17 @@
     let (after, mut after_reply) = repeat(&driver, 2);
     driver.handle_input(after);
     assert!(matches!(after_reply.try_recv(), Ok(Reply::Refused { .. })));
-    assert!(before_reply.try_recv().is_err(), "it waits, as it came under the aim of 4 s");
+    assert!(before_reply.try_recv().is_err(), "the request before the revision waits, under its aim of 4 s");
 }
 
 #[test]
-fn the_driver_says_when_it_has_taken_a_revision() {
+fn the_driver_confirms_an_applied_revision() {
     let (mut driver, mut active) = driver();
-    let Input::Configuration { change, .. } = configuration(&mut active, 1) else { panic!("it is one") };
-    let (taken, mut is_taken) = oneshot::channel();
-    assert!(is_taken.try_recv().is_err());
-    driver.handle_input(Input::Configuration { change, applied: taken });
-    assert!(is_taken.try_recv().is_ok());
+    let Input::Configuration { change, .. } = configuration(&mut active, 1) else {
+        panic!("expected a configuration")
+    };
+    let (applied, mut is_applied) = oneshot::channel();
+    assert!(is_applied.try_recv().is_err());
+    driver.handle_input(Input::Configuration { change, applied });
+    assert!(is_applied.try_recv().is_ok());
 }
