--- a/crates/node/tests/unit/upstream.rs
+++ b/crates/node/tests/unit/upstream.rs
@@ -1,7 +1,7 @@
 use super::*;
 use bytes::Bytes;
 
-/// An attempt at this server, with 5 s for everything.
+/// Returns an attempt at this server with timeouts of 5 s.
 fn attempt(server: Arc<Server>, clock: Clock) -> Attempt {
     let request = UpstreamRequest::new(
         Method::GET,
@@ -23,12 +23,12 @@
     }
 }
 
-/// Guards servers against a storm of connections: one that its attempt has given up while it came up, as its time to
-/// connect was over or its client had left, serves the next attempt, in the slot that it has.
+/// Guards servers against a storm of connections: a connection whose attempt gave up while it was being established,
+/// because of the connect timeout or because the client left, serves the next attempt in the same slot.
 #[tokio::test]
-async fn a_connection_that_comes_up_late_serves_the_next_attempt() {
-    for leaves in [false, true] {
-        // A kernel that takes one connection, and that is there already: a further SYN is dropped, and repeated.
+async fn a_connection_established_after_its_attempt_gave_up_serves_the_next_attempt() {
+    for client_leaves in [false, true] {
+        // The backlog has room for one connection, which the filler takes: a further SYN is dropped and repeated.
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         socket.bind(&any.into()).unwrap();
@@ -47,51 +47,53 @@
             ramp_time: 0,
         };
         let mut pool = Pool::new(slots.clone(), limits, clock);
-        let run = attempt(Arc::new(Server::new(address)), clock);
-        let run = Attempt { connect_timeout: if leaves { 5_000_000_000 } else { 1_000_000 }, ..run };
-        let over = run.request.cancellation.clone();
-        let running = tokio::spawn(run.run(pool.acquire(ServerId(0), address).expect("a free slot")));
-        if leaves {
-            tokio::task::yield_now().await; // it connects
-            over.cancel();
+        let attempt = attempt(Arc::new(Server::new(address)), clock);
+        let attempt =
+            Attempt { connect_timeout: if client_leaves { 5_000_000_000 } else { 1_000_000 }, ..attempt };
+        let cancellation = attempt.request.cancellation.clone();
+        let running = tokio::spawn(attempt.run(pool.acquire(ServerId(0), address).expect("a free slot")));
+        if client_leaves {
+            tokio::task::yield_now().await; // starts to connect
+            cancellation.cancel();
         }
-        let ended = running.await.unwrap();
-        assert_eq!(ended.status, if leaves { Status::Moot } else { Status::ConnectFailed });
-        let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
-        pool.await_pending(ended.pending_connection.expect("it goes on"), move |connection| {
-            drop(tell.send(connection))
-        });
-        listener.accept().await.unwrap(); // the filler: now there is room
+        let outcome = running.await.unwrap();
+        assert_eq!(outcome.status, if client_leaves { Status::Moot } else { Status::ConnectFailed });
+        let (sender, mut told) = tokio::sync::mpsc::unbounded_channel();
+        pool.await_pending(
+            outcome.pending_connection.expect("the attempt has a pending connection"),
+            move |connection| drop(sender.send(connection)),
+        );
+        listener.accept().await.unwrap(); // accepts the filler, which frees the backlog
         let accepted = listener.accept();
-        let connection = told.recv().await.expect("it came to nothing");
+        let connection = told.recv().await.expect("the connection was not established");
         let (mut stream, _) = accepted.await.unwrap();
         assert_eq!(slots.in_use(), 1);
         pool.put(ServerId(0), connection);
-        let way = pool.acquire(ServerId(0), address).expect("the one that came up");
-        assert!(matches!(way, ConnectionSource::Pooled(_)));
-        drop((way, pool));
+        let source = pool.acquire(ServerId(0), address).expect("the established connection");
+        assert!(matches!(source, ConnectionSource::Pooled(_)));
+        drop((source, pool));
         let read = tokio::io::AsyncReadExt::read(&mut stream, &mut [0; 1]).await.unwrap();
-        assert_eq!((read, slots.in_use()), (0, 0), "nothing was written, and the slot is free again");
+        assert_eq!((read, slots.in_use()), (0, 0), "nothing was written, and the slot is released");
     }
 }
 
-/// Guards drains: a server whose grace has passed while its connection came up gets nothing.
+/// Guards drains: a server whose grace period ended while its connection was being established gets no request.
 #[tokio::test]
-async fn nothing_is_written_to_a_server_that_drains_by_then() {
+async fn nothing_is_written_to_a_server_whose_grace_period_ended_while_connecting() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let clock = Clock::new();
     let server = Arc::new(Server::new(listener.local_addr().unwrap()));
     server.set_ready(false, clock.now(), 0);
     let slot = Slots::new(1).try_acquire(1).unwrap();
-    let run = attempt(server, clock);
-    assert_eq!(run.run(ConnectionSource::Connect(slot)).await.status, Status::Moot);
+    let attempt = attempt(server, clock);
+    assert_eq!(attempt.run(ConnectionSource::Connect(slot)).await.status, Status::Moot);
     let (mut stream, _) = listener.accept().await.unwrap();
     let read = tokio::io::AsyncReadExt::read(&mut stream, &mut [0; 1]).await.unwrap();
-    assert_eq!(read, 0, "something was written");
+    assert_eq!(read, 0, "a request was written to the draining server");
 }
 
 #[test]
-fn a_server_that_is_told_to_drain_twice_has_one_grace_and_a_ready_one_no_end() {
+fn a_repeated_drain_notice_does_not_extend_the_grace_period_and_ready_ends_it() {
     let server = Server::new("127.0.0.1:1".parse().unwrap());
     let grace = 1_000 + 2 * server::MAX_PROCESSING_DELAY;
     server.set_ready(false, 0, grace);
@@ -101,26 +103,30 @@
     assert!(server.accepts_sends(NEVER - 1));
 }
 
-/// Guards drains: a node that is held up for 0.15 s before it takes the notice in, and again after its last look at the
-/// clock, has still written within the grace.
+/// Guards drains: a node that is delayed by 0.15 s before it processes the notice, and again after its last reading of
+/// the clock, still writes within the grace period.
 #[test]
-fn the_grace_of_a_drain_covers_a_node_that_is_held_up() {
-    const HELD_UP: Nanos = 150_000_000;
+fn a_delayed_node_writes_nothing_after_the_grace_period() {
+    const DELAY: Nanos = 150_000_000;
     for grace in [0, 100_000_000, 250_000_000, 500_000_000, 2_000_000_000] {
         for told in [0, 7_000_000_000] {
             let server = Server::new("127.0.0.1:1".parse().unwrap());
-            let heard = told + HELD_UP;
-            server.set_ready(false, heard, grace);
-            let looks = (heard..heard + grace + 1).step_by(1_000_000);
-            let last_look = looks.filter(|&at| server.accepts_sends(at)).max().unwrap_or(told);
-            let written = last_look + HELD_UP;
-            assert!(written <= told + grace.max(HELD_UP), "{grace} ns of grace: {} ns after", written - told);
+            let processed = told + DELAY;
+            server.set_ready(false, processed, grace);
+            let clock_readings = (processed..processed + grace + 1).step_by(1_000_000);
+            let last_reading = clock_readings.filter(|&at| server.accepts_sends(at)).max().unwrap_or(told);
+            let written = last_reading + DELAY;
+            assert!(
+                written <= told + grace.max(DELAY),
+                "{grace} ns of grace: written after {} ns",
+                written - told
+            );
         }
     }
 }
 
 #[test]
-fn a_bad_load_report_is_ignored_and_a_bad_figure_left_out() {
+fn an_invalid_load_report_is_ignored_and_an_invalid_value_is_skipped() {
     let read = |text: &'static str| load_report(&HeaderValue::from_static(text));
     let report = read("TEXT inflight=7, queue=x, util=NaN,qps=-1, eps = 0.5,, =, new=1").unwrap();
     assert_eq!((report.in_flight, report.eps), (Some(7.0), Some(0.5)));
--- a/fuzz/fuzz_targets/configuration.rs
+++ b/fuzz/fuzz_targets/configuration.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration with the list of servers in it.
+//! Validates a platform configuration, which contains the server list.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|text: &str| {
--- a/fuzz/fuzz_targets/head.rs
+++ b/fuzz/fuzz_targets/head.rs
@@ -1,4 +1,4 @@
-//! The head of a client's request.
+//! Reads the head of a client request.
 #![no_main]
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
--- a/fuzz/fuzz_targets/message.rs
+++ b/fuzz/fuzz_targets/message.rs
@@ -1,4 +1,4 @@
-//! The lab's reading of HTTP messages, from nodes and from clients.
+//! Parses HTTP messages from nodes and from clients with the parser of the lab.
 #![no_main]
 
 use merlinfold_lab::http::{parse, Side};
--- a/fuzz/fuzz_targets/product.rs
+++ b/fuzz/fuzz_targets/product.rs
@@ -1,9 +1,9 @@
-//! `merlinfold.toml` and experiments.
+//! Parses `merlinfold.toml` and experiment files, and checks experiments.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|text: &str| {
     let _ = merlinfold_config::parse::<merlinfold_config::Config>(text);
-    if let Ok(day) = merlinfold_config::parse::<merlinfold_world::experiment::Experiment>(text) {
-        let _ = day.check();
+    if let Ok(experiment) = merlinfold_config::parse::<merlinfold_world::experiment::Experiment>(text) {
+        let _ = experiment.check();
     }
 });
--- a/fuzz/fuzz_targets/revision.rs
+++ b/fuzz/fuzz_targets/revision.rs
@@ -1,4 +1,5 @@
-//! Documents and deltas of the versioned configuration, as bytes and as an operator's JSON.
+//! Decodes documents and deltas of the versioned configuration, from bytes and from JSON. Encoding must restore the
+//! input.
 #![no_main]
 
 use merlinfold_revision::{Delta, Document, Revision};
--- a/fuzz/fuzz_targets/wire.rs
+++ b/fuzz/fuzz_targets/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire, line by line.
+//! Feeds lines of the simulator protocol to the drill host.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|bytes: &[u8]| {
