--- a/crates/node/src/configuration/active.rs
+++ b/crates/node/src/configuration/active.rs
@@ -1,4 +1,4 @@
-//! Which revision is in force: whole ones, in order, never a lower one.
+//! The revision in force. Revisions come into force whole and in order, and never after a later one.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 use super::tenants::TenantNumbers;
 use super::unsupported::UnsupportedError;
 
-/// Which revision. A later one is greater.
+/// Identifies a revision. Later revisions compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RevisionId {
-    /// Epoch of the agreed log in which it was announced.
+    /// Epoch of the replicated log in which it was announced.
     pub epoch: u64,
-    /// Its number, counted through all epochs.
+    /// Its number, which keeps counting across epochs.
     pub number: u64,
 }
 
@@ -26,21 +26,21 @@
     }
 }
 
-/// Why a revision does not come into force. The one before stays.
+/// Why a revision does not come into force. The one before stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RevisionError {
     /// It is not later than the one in force.
     #[error("revision {offered} is not later than {in_force}, which is in force; nothing to do")]
     NotLater {
-        /// What was offered.
+        /// The rejected revision.
         offered: RevisionId,
-        /// What is in force.
+        /// The revision in force.
         in_force: RevisionId,
     },
-    /// It cannot be read.
+    /// It cannot be decoded.
     #[error("{0}")]
     Unreadable(#[from] DecodeError),
-    /// It can be read, but not be applied here.
+    /// It can be decoded, but this node cannot apply it.
     #[error("{0}")]
     Unsupported(#[from] UnsupportedError),
 }
@@ -54,7 +54,7 @@
 }
 
 impl PreparedRevision {
-    /// What the driver is to take.
+    /// The change for the driver.
     pub fn change(&self) -> ConfigurationChange {
         self.change.clone()
     }
@@ -71,39 +71,39 @@
 }
 
 impl ActiveRevision {
-    /// None yet: all is as at the start.
+    /// No revision yet: all settings are as at the start.
     pub fn new(baseline: Baseline) -> Self {
         let numbers = TenantNumbers::starting_after(baseline.tenant_count());
         let (id, revision, history) = Default::default();
         ActiveRevision { baseline, id, revision, numbers, history }
     }
 
-    /// Which one is in force.
+    /// The revision in force.
     pub fn id(&self) -> RevisionId {
         self.id
     }
 
-    /// Its digest.
+    /// The digest of its document.
     pub fn digest(&self) -> Digest {
         self.revision.digest
     }
 
-    /// It.
+    /// The revision in force with its document.
     pub fn revision(&self) -> &Revision {
         &self.revision
     }
 
-    /// The way back.
+    /// Earlier revisions that can be restored.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Whether this node could apply the document.
+    /// Checks whether this node could apply the document.
     pub fn check(&self, document: &Document) -> Result<(), UnsupportedError> {
         self.baseline.check(document)
     }
 
-    /// Reads and checks a revision; nothing changes yet.
+    /// Decodes and checks a revision. It does not come into force before [`ActiveRevision::commit`].
     pub fn prepare(&self, id: RevisionId, document: &[u8]) -> Result<PreparedRevision, RevisionError> {
         if id <= self.id {
             return Err(RevisionError::NotLater { offered: id, in_force: self.id });
@@ -120,13 +120,13 @@
         Ok(PreparedRevision { id, revision, change })
     }
 
-    /// What is in force came from a disk and is not of this fleet's log: it serves until another revision comes, which
-    /// may be any.
+    /// Lets any revision follow the one in force, which came from a disk and is not in this fleet's log. It stays in force
+    /// until then.
     pub fn accept_any_revision(&mut self) {
         self.id = RevisionId::default();
     }
 
-    /// Notes that a revision is in force from now on: the driver has taken its change.
+    /// Marks a revision as in force once the driver has applied its change.
     pub fn commit(&mut self, prepared: PreparedRevision) {
         let PreparedRevision { id, revision, change } = prepared;
         self.history.follow(&self.revision, &revision);
--- a/crates/node/src/configuration/applier.rs
+++ b/crates/node/src/configuration/applier.rs
@@ -1,4 +1,4 @@
-//! The host of [`ActiveRevision`]: documents come in on threads that may block, changes go to the driver.
+//! Applies documents to [`ActiveRevision`] on threads that may block, and sends the changes to the driver.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard};
@@ -15,43 +15,43 @@
 use super::change::ConfigurationChange;
 use super::unsupported::UnsupportedError;
 
-/// Why a revision did not come into force, or a change cannot be proposed.
+/// Why a revision did not come into force, or why a change cannot be published.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ApplyError {
-    /// It is refused; the one before stays in force.
+    /// The revision is refused, and the one before stays in force.
     #[error(transparent)]
     Refused(#[from] RevisionError),
-    /// A delta does not fit the document that it is applied to.
+    /// The delta does not match the document that it is applied to.
     #[error(transparent)]
     Delta(#[from] Fault),
-    /// A delta or document cannot be read.
+    /// A delta or document cannot be decoded.
     #[error(transparent)]
     Unreadable(#[from] DecodeError),
     /// This node could not apply the result.
     #[error(transparent)]
     Unsupported(#[from] UnsupportedError),
-    /// The revision to go back to is not held.
+    /// The revision to roll back to is not stored here.
     #[error(transparent)]
     NotHeld(#[from] NotHeld),
-    /// The process ends.
-    #[error("the node ends; ask another one")]
+    /// The process is ending.
+    #[error("the node is stopping; use another one")]
     Ended,
 }
 
-/// How the configuration stands at this node.
+/// Status of the configuration at this node.
 #[derive(Clone, Debug, Serialize)]
 pub struct LocalStatus {
-    /// Number of the revision in force; 0: none, all is as at the start.
+    /// Number of the revision in force. 0 stands for none: all settings are as at the start.
     pub revision: u64,
-    /// Epoch of the agreed log in which it was announced.
+    /// Epoch of the replicated log in which it was announced.
     pub epoch: u64,
     /// Digest of its document.
     pub digest: Digest,
-    /// Seconds since it came into force here; none before the first.
+    /// Seconds since it came into force here. There is none before the first revision.
     pub in_force_for_s: Option<u64>,
-    /// The earliest revision that this node can go back to.
+    /// The earliest revision that this node can roll back to.
     pub earliest_held: Option<u64>,
-    /// The last revision that was refused here, if it came after the one in force.
+    /// The last revision that was refused here since the one in force.
     pub refused: Option<RefusedRevision>,
 }
 
@@ -60,15 +60,16 @@
 pub struct RefusedRevision {
     /// Its number.
     pub revision: u64,
-    /// The epoch in which it was announced.
+    /// Epoch of the replicated log in which it was announced.
     pub epoch: u64,
-    /// Key, fault and what to do.
+    /// The key, the problem and the remedy.
     pub fault: String,
-    /// When, in seconds of Unix time.
+    /// When it was refused, in seconds of Unix time.
     pub at: u64,
 }
 
-/// What is shown, apart from the revision itself, so that whoever looks waits for nothing.
+/// The data of [`LocalStatus`]. Its own lock is only held for moments, so a status query never waits for a revision that
+/// is being applied.
 struct Summary {
     id: RevisionId,
     digest: Digest,
@@ -77,25 +78,26 @@
     refused: Option<RefusedRevision>,
 }
 
-/// Hands a change to the driver, which answers when it has taken it; false: the driver is gone.
-type Deliver = Box<dyn Fn(Box<ConfigurationChange>, oneshot::Sender<()>) -> bool + Send + Sync>;
+/// Sends a change to the driver, which confirms on the channel when it has applied it. Returns false if the driver has
+/// ended.
+type SendChange = Box<dyn Fn(Box<ConfigurationChange>, oneshot::Sender<()>) -> bool + Send + Sync>;
 
-/// Brings revisions into force, one at a time.
+/// Applies revisions, one at a time.
 pub struct Applier {
     active: RwLock<ActiveRevision>,
     summary: Mutex<Summary>,
-    /// Held while a revision is on its way to the driver, so that the next one waits.
-    turn: Mutex<()>,
-    /// The next revision may be a lower one.
-    set_aside: AtomicBool,
-    deliver: Deliver,
+    /// Locked while a revision is being applied, so that the next one waits.
+    apply_lock: Mutex<()>,
+    /// Whether the next revision may be any, even an earlier one.
+    accept_any: AtomicBool,
+    send_change: SendChange,
 }
 
 impl Applier {
-    /// For a node with this baseline, whose driver is reached by `deliver`.
+    /// An applier for a node with this baseline. `send_change` sends a change to its driver.
     pub(crate) fn new(
         baseline: Baseline,
-        deliver: impl Fn(Box<ConfigurationChange>, oneshot::Sender<()>) -> bool + Send + Sync + 'static,
+        send_change: impl Fn(Box<ConfigurationChange>, oneshot::Sender<()>) -> bool + Send + Sync + 'static,
     ) -> Self {
         let active = ActiveRevision::new(baseline);
         let (id, digest) = (active.id(), active.digest());
@@ -103,14 +105,14 @@
         Applier {
             active: RwLock::new(active),
             summary: Mutex::new(summary),
-            turn: Mutex::default(),
-            set_aside: AtomicBool::new(false),
-            deliver: Box::new(deliver),
+            apply_lock: Mutex::default(),
+            accept_any: AtomicBool::new(false),
+            send_change: Box::new(send_change),
         }
     }
 
-    /// Applies encoded deltas, in order, to an encoded document; no bytes stand for the empty document. Nothing comes
-    /// into force by it.
+    /// Applies encoded deltas to an encoded document in order, without putting the result in force. No bytes stand for the
+    /// empty document.
     pub fn compose<'a>(
         document: &[u8], base: u64, deltas: impl IntoIterator<Item = (u64, &'a [u8])>,
     ) -> Result<Vec<u8>, ApplyError> {
@@ -123,20 +125,20 @@
         Ok(revision.document.encode())
     }
 
-    /// Puts a document whose digest was verified in force, and returns when the driver has taken it. Blocks.
+    /// Puts a document in force whose digest has been verified. Blocks until the driver has applied it.
     pub fn apply(&self, id: RevisionId, document: &[u8]) -> Result<(), ApplyError> {
-        let _turn = self.turn.lock().unwrap_or_else(PoisonError::into_inner);
-        if self.set_aside.swap(false, Ordering::Relaxed) {
+        let _applying = self.apply_lock.lock().unwrap_or_else(PoisonError::into_inner);
+        if self.accept_any.swap(false, Ordering::Relaxed) {
             self.active.write().unwrap_or_else(PoisonError::into_inner).accept_any_revision();
         }
         let prepared =
-            self.read_active().prepare(id, document).inspect_err(|refusal| self.refuse(id, refusal))?;
-        let (taken, is_taken) = oneshot::channel();
+            self.read_active().prepare(id, document).inspect_err(|error| self.record_refusal(id, error))?;
+        let (applied, is_applied) = oneshot::channel();
         let change = Box::new(prepared.change());
-        if !(self.deliver)(change, taken) {
+        if !(self.send_change)(change, applied) {
             return Err(ApplyError::Ended);
         }
-        is_taken.blocking_recv().map_err(|_| ApplyError::Ended)?;
+        is_applied.blocking_recv().map_err(|_| ApplyError::Ended)?;
         self.commit(prepared);
         Ok(())
     }
@@ -152,25 +154,26 @@
             Summary { id, digest, earliest_held, since: Some(Instant::now()), refused: None };
     }
 
-    /// Names a revision that is refused. One that is merely not later is nothing to tell of.
-    fn refuse(&self, id: RevisionId, refusal: &RevisionError) {
-        if matches!(refusal, RevisionError::NotLater { .. }) {
+    /// Logs and records a refused revision, unless it is merely not later than the one in force.
+    fn record_refusal(&self, id: RevisionId, error: &RevisionError) {
+        if matches!(error, RevisionError::NotLater { .. }) {
             return;
         }
-        let fault = refusal.to_string();
-        warn!(revision = %id, fault, "configuration refused; the one before stays in force");
+        let fault = error.to_string();
+        warn!(revision = %id, fault, "configuration refused; the previous one stays in force");
         let at = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
         let RevisionId { epoch, number: revision } = id;
         self.lock_summary().refused = Some(RefusedRevision { revision, epoch, fault, at });
     }
 
-    /// What is in force is not of this fleet's log: it serves on, and any other revision may follow it. Does not block.
+    /// Lets any revision follow the one in force, which is not in this fleet's log and stays in force until then. Does not
+    /// block.
     pub fn accept_any_revision(&self) {
-        self.set_aside.store(true, Ordering::Relaxed);
+        self.accept_any.store(true, Ordering::Relaxed);
     }
 
-    /// The document that a delta would make here, checked against all that can be known before it is proposed, and
-    /// the revision in force that it would be made from.
+    /// Checks a delta as far as possible before it is published. Returns the revision in force and the document that the
+    /// delta makes of it.
     pub fn check(&self, delta: &Delta) -> Result<(RevisionId, Document), ApplyError> {
         let active = self.read_active();
         let document = delta.apply(active.revision())?;
@@ -178,7 +181,7 @@
         Ok((active.id(), document))
     }
 
-    /// The delta that goes back to an earlier revision, where this one is in force.
+    /// The delta that restores the document of an earlier revision. Fails unless the revision `in_force` is in force.
     pub fn rollback_delta(&self, in_force: u64, earlier: u64) -> Result<Delta, ApplyError> {
         let active = self.read_active();
         let revision = active.revision();
@@ -194,7 +197,7 @@
         self.read_active().revision().document.clone()
     }
 
-    /// How the configuration stands here.
+    /// Status of the configuration at this node.
     pub fn status(&self) -> LocalStatus {
         let summary = self.lock_summary();
         let RevisionId { epoch, number: revision } = summary.id;
@@ -208,7 +211,7 @@
         }
     }
 
-    // A lock whose holder panicked is taken over: no change is made before all of it is known to succeed.
+    // A poisoned lock can be used: data is only changed after everything that may fail has succeeded.
 
     fn read_active(&self) -> RwLockReadGuard<'_, ActiveRevision> {
         self.active.read().unwrap_or_else(PoisonError::into_inner)
--- a/crates/node/src/configuration/baseline.rs
+++ b/crates/node/src/configuration/baseline.rs
@@ -1,4 +1,4 @@
-//! What the node was started with, and how a document lays over it.
+//! The settings that the node was started with, and how a document overrides them.
 
 use merlinfold_decide::interface::{Class, ClassFigures, Figures, Nanos, Settings};
 use merlinfold_revision::bounds::WHOLE_SHARE;
@@ -8,21 +8,21 @@
 use super::tenants::TenantNumbers;
 use super::unsupported::UnsupportedError;
 
-/// Attempts that a request may have.
+/// Limit of the attempts per request.
 const MAX_ATTEMPTS: &str = "max_attempts";
-/// Worth of a request beyond its tenant's quota, as a share of the usual.
+/// Worth of a request beyond its tenant's quota, as a share of its usual worth.
 const OVER_SHARE_WORTH: &str = "over_share_worth";
-/// Requests that may be open at this node at once.
+/// Limit of the requests that are open at this node at once.
 const OPEN_REQUESTS: &str = "open_requests";
-/// Requests of all tenants over all nodes, of which tenants have shares.
+/// Limit of the request rate of all tenants over all nodes, of which tenants have shares.
 const FLEET_REQUESTS: &str = "fleet_requests";
-/// All limits that a node applies, for people.
+/// Names of all limits that a node applies, for error messages.
 pub const LIMIT_NAMES: &str = "max_attempts, over_share_worth, open_requests and fleet_requests";
 
 const MILLION: f64 = 1e6;
 const MILLISECOND: Nanos = 1_000_000;
 
-/// What the node was started with.
+/// The settings that the node was started with and that a document may override.
 #[derive(Clone, Debug)]
 pub struct Baseline {
     class_names: Numbering,
@@ -33,7 +33,7 @@
 }
 
 impl Baseline {
-    /// Of these settings.
+    /// Takes the baseline from the settings at the start.
     pub fn new(settings: &Settings, names: &Names, open_requests: usize) -> Self {
         Baseline {
             class_names: names.classes.clone(),
@@ -44,20 +44,20 @@
         }
     }
 
-    /// Tenants that the node was started with.
+    /// Number of tenants that the node was started with.
     pub fn tenant_count(&self) -> usize {
         self.figures.tenants.len()
     }
 
-    /// Whether this node can apply the document. The first thing that it cannot is named.
+    /// Checks whether this node can apply the document. The error names the first key that it cannot apply.
     pub fn check(&self, document: &Document) -> Result<(), UnsupportedError> {
         if let Some(prefix) = document.routes.keys().next() {
             return Err(UnsupportedError::Routes { prefix: prefix.clone() });
         }
         document.classes.iter().try_for_each(|(name, class)| self.check_class(name, class))?;
         document.limits.iter().try_for_each(|(name, limit)| self.check_limit(name, limit))?;
-        let shared = document.tenants.iter().find(|(_, tenant)| tenant.share > 0);
-        match shared {
+        let with_share = document.tenants.iter().find(|(_, tenant)| tenant.share > 0);
+        match with_share {
             Some((tenant, _)) if !document.limits.contains_key(FLEET_REQUESTS) => {
                 Err(UnsupportedError::ShareWithoutLimit { tenant: tenant.clone() })
             }
@@ -78,7 +78,7 @@
     }
 
     fn check_limit(&self, name: &str, limit: &Limit) -> Result<(), UnsupportedError> {
-        let (expected, least, most) = match name {
+        let (expected, min, max) = match name {
             MAX_ATTEMPTS => (Unit::Count, 1, u64::from(self.figures.max_attempts)),
             OVER_SHARE_WORTH => (Unit::Millionths, 0, MILLION as u64),
             OPEN_REQUESTS => (Unit::Count, 1, self.open_requests as u64),
@@ -89,19 +89,19 @@
         if unit != expected {
             return Err(UnsupportedError::LimitUnit { limit: limit_name, unit, expected });
         }
-        if !(least..=most).contains(&value) {
-            return Err(UnsupportedError::LimitOutOfBounds { limit: limit_name, value, least, most });
+        if !(min..=max).contains(&value) {
+            return Err(UnsupportedError::LimitOutOfBounds { limit: limit_name, value, min, max });
         }
         Ok(())
     }
 
-    /// Names of tenants that only the document knows.
+    /// Names of the tenants that the node was not started with.
     pub fn added_tenants<'a>(&'a self, document: &'a Document) -> impl Iterator<Item = &'a str> {
         let names = document.tenants.keys().map(String::as_str);
         names.filter(|name| self.tenant_names.get(name).is_none())
     }
 
-    /// The module's figures under a document that was checked.
+    /// Settings of the decision module under a document that has passed [`Baseline::check`].
     pub fn figures(&self, document: &Document, numbers: &TenantNumbers) -> Figures {
         let mut figures = self.figures.clone();
         let value = |name| document.limits.get(name).map(|limit| limit.value);
@@ -112,10 +112,10 @@
         }
         let unlimited = merlinfold_decide::interface::Tenant { quota_per_s: f64::INFINITY };
         figures.tenants.resize(numbers.next_number(), unlimited);
-        let fleet = value(FLEET_REQUESTS);
+        let fleet_requests = value(FLEET_REQUESTS);
         for (name, tenant) in &document.tenants {
             if let Some(number) = self.tenant_names.get(name).or_else(|| numbers.get(name)) {
-                figures.tenants[number].quota_per_s = quota(tenant, fleet);
+                figures.tenants[number].quota_per_s = quota(tenant, fleet_requests);
             }
         }
         if let Some(attempts) = value(MAX_ATTEMPTS).and_then(|attempts| u32::try_from(attempts).ok()) {
@@ -127,10 +127,10 @@
         figures
     }
 
-    /// Requests that may be open at once under a document that was checked.
+    /// Maximum number of requests that may be open at once under a document that has passed [`Baseline::check`].
     pub fn open_requests(&self, document: &Document) -> usize {
         let stated = document.limits.get(OPEN_REQUESTS).map(|limit| limit.value);
-        stated.and_then(|most| usize::try_from(most).ok()).unwrap_or(self.open_requests)
+        stated.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(self.open_requests)
     }
 }
 
@@ -142,7 +142,8 @@
     }
 }
 
-/// Requests a second that count in full: the lesser of the tenant's own limit and its share of the fleet's.
+/// Quota of a tenant in requests per second, which count in full: the smaller one of its own limit and its share of the
+/// fleet's limit.
 fn quota(tenant: &Tenant, fleet_requests_per_1000_s: Option<u64>) -> f64 {
     let own = tenant.requests_per_1000_s.map_or(f64::INFINITY, |requests| requests as f64 / 1e3);
     let share = f64::from(tenant.share) / f64::from(WHOLE_SHARE);
--- a/crates/node/src/configuration/change.rs
+++ b/crates/node/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! What the driver takes between two requests, as a whole.
+//! A configuration change, which the driver applies as a whole between two requests.
 
 use std::sync::Arc;
 
@@ -7,19 +7,19 @@
 
 use super::tenants::{TenantNumbers, TenantRef};
 
-/// What the driver itself needs of the document in force.
+/// The document in force, as the driver uses it.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveDocument {
     /// The document.
     pub document: Arc<Document>,
-    /// Numbers of tenants that documents have added.
+    /// Numbers of the tenants that revisions have added.
     pub numbers: TenantNumbers,
 }
 
 impl ActiveDocument {
-    /// The number of a request's tenant, if there is such a tenant now.
-    pub fn tenant_number(&self, named: TenantRef) -> Option<usize> {
-        match named {
+    /// The number of a tenant, if the node was started with it or the document has it.
+    pub fn tenant_number(&self, tenant: TenantRef) -> Option<usize> {
+        match tenant {
             TenantRef::Initial(number) => Some(number),
             TenantRef::Named(name) if self.document.tenants.contains_key(&*name) => self.numbers.get(&name),
             TenantRef::Named(_) => None,
@@ -27,13 +27,13 @@
     }
 }
 
-/// All that changes when a revision comes into force.
+/// Everything that changes when a revision comes into force.
 #[derive(Clone, Debug)]
 pub struct ConfigurationChange {
-    /// For the decision module.
+    /// Settings of the decision module.
     pub figures: Box<Figures>,
-    /// Requests that may be open at once.
+    /// Maximum number of requests that may be open at once.
     pub open_requests: usize,
-    /// For the driver.
+    /// The document that comes into force.
     pub in_force: Arc<ActiveDocument>,
 }
--- a/crates/node/src/configuration/distributed.rs
+++ b/crates/node/src/configuration/distributed.rs
@@ -1,4 +1,4 @@
-//! Joins the fleet's distribution, for which content is bytes, to the node's [`Applier`].
+//! Connects the fleet's distribution, which treats documents as bytes, to the node's [`Applier`].
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use super::applier::{Applier, ApplyError};
 use super::publisher::{FleetProgress, Publication, PublicationError, PublishFuture, Publisher};
 
-/// What the distribution asks of the node.
+/// Applies and composes documents for the distribution.
 pub struct NodeContent(pub Arc<Applier>);
 
 impl Content for NodeContent {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Publishes through the fleet.
+/// Publishes revisions through the fleet.
 pub struct FleetPublisher(pub ConfigurationHandle);
 
 impl Publisher for FleetPublisher {
@@ -45,7 +45,7 @@
             delta: Some(publication.delta.to_vec()),
             over_missing: publication.over_missing,
         };
-        Box::pin(async move { self.0.publish(change).await.map(node_revision).map_err(not_published) })
+        Box::pin(async move { self.0.publish(change).await.map(node_revision).map_err(publication_error) })
     }
 
     fn progress(&self) -> FleetProgress {
@@ -65,7 +65,7 @@
     FleetRevision { epoch, number }
 }
 
-fn not_published(error: PublishError) -> PublicationError {
+fn publication_error(error: PublishError) -> PublicationError {
     let text = error.to_string();
     match error {
         PublishError::Superseded(_) | PublishError::NewEpoch => PublicationError::Conflict(text),
--- a/crates/node/src/configuration/publisher.rs
+++ b/crates/node/src/configuration/publisher.rs
@@ -1,4 +1,4 @@
-//! What the node needs of the distribution: to publish a revision, and how far the fleet is.
+//! The interface to the distribution: publishing a revision, and its progress in the fleet.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -12,76 +12,77 @@
 /// A revision to be published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Publication {
-    /// The revision that it was made from; none: it is the first.
+    /// The revision that it is based on. The first revision has none.
     pub base: Option<RevisionId>,
-    /// Format of the document.
+    /// Format version of the document.
     pub format: u16,
     /// The whole document, encoded.
     pub document: Arc<[u8]>,
     /// The encoded delta from the base.
     pub delta: Arc<[u8]>,
-    /// To be published from its base although a later revision was agreed on, the content of which is lost.
+    /// Whether to publish it although a later revision than its base was agreed on, whose content is lost.
     pub over_missing: bool,
 }
 
-/// Why a revision is not published, as far as is known.
+/// Why a revision was not published, as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublicationError {
-    /// Another publisher was first, or this node is behind.
+    /// Another revision was published first, or this node has an earlier revision.
     #[error("{0}")]
     Conflict(String),
-    /// It cannot be published at all.
+    /// It is not valid for publication.
     #[error("{0}")]
     Refused(String),
-    /// Nobody has confirmed it; it may still come to be.
-    #[error("not confirmed in time: see which revision is the latest before publishing again")]
+    /// It was not confirmed in time and may still be published.
+    #[error("not confirmed in time: check which revision is the latest before publishing again")]
     Unconfirmed,
-    /// It was not tried.
+    /// Publication was not attempted.
     #[error("{0}")]
     Unavailable(String),
 }
 
-/// Which revision is in force where, as far as this node knows. Revisions are written as `epoch.number`.
+/// Progress of the configuration in the fleet, as far as this node knows. Revisions are written as `epoch.number`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FleetProgress {
-    /// The latest revision that was agreed on, as far as this node has heard.
+    /// The latest agreed revision that this node knows of.
     pub latest: Option<String>,
-    /// Milliseconds since the agreed log was last heard to be fresh; none: never since the start.
+    /// Milliseconds since this node last knew that its copy of the replicated log was current. There is none if it never
+    /// was since the start.
     pub log_silent_ms: Option<u64>,
-    /// Whether the disk has not taken the revision in force.
+    /// Whether the revision in force could not be saved to disk.
     pub unsaved: bool,
-    /// Live nodes, this one among them: the sum of the next four.
+    /// Number of live nodes, including this one: the sum of the next four.
     pub live: usize,
-    /// Those that have said that the latest revision is in force there.
+    /// Nodes that have reported the latest revision as in force.
     pub applied: usize,
-    /// Those with an earlier revision, or none.
+    /// Nodes that have reported an earlier revision or none.
     pub behind: usize,
-    /// Those with a later revision than this node has heard of.
+    /// Nodes that have reported a later revision than this node knows of.
     pub ahead: usize,
-    /// Those that have said nothing of late.
+    /// Nodes without a recent report.
     pub unknown: usize,
-    /// Those that refuse a revision.
+    /// Nodes that refuse a revision.
     pub refused: usize,
-    /// Names of the first few that are behind.
+    /// Names of the first few nodes that are behind.
     pub behind_names: Vec<String>,
-    /// Names of the first few that have said nothing of late.
+    /// Names of the first few nodes without a recent report.
     pub unknown_names: Vec<String>,
-    /// Names of the first few that refuse a revision.
+    /// Names of the first few nodes that refuse a revision.
     pub refused_names: Vec<String>,
-    /// The lowest revision in force at a node that is known.
+    /// The lowest revision that a node has reported as in force.
     pub lowest: Option<String>,
-    /// The node of that revision.
+    /// The node with that revision.
     pub lowest_at: Option<String>,
 }
 
-/// A publication under way.
+/// The result of a publication that is in progress.
 pub type PublishFuture<'a> = Pin<Box<dyn Future<Output = Result<RevisionId, PublicationError>> + Send + 'a>>;
 
-/// The distribution, as the rest of the node uses it.
+/// Publishes revisions to the fleet.
 pub trait Publisher: Send + Sync {
-    /// Has a revision agreed on and spread; returns when it is agreed on.
+    /// Publishes a revision to the fleet. Returns once the fleet has agreed on it, which is before all nodes apply it.
     fn publish(&self, publication: Publication) -> PublishFuture<'_>;
 
-    /// How far the fleet is.
+    /// Progress of the configuration in the fleet.
     fn progress(&self) -> FleetProgress;
 }
--- a/crates/node/src/configuration/tenants.rs
+++ b/crates/node/src/configuration/tenants.rs
@@ -1,4 +1,4 @@
-//! Numbers of tenants that came with a revision. A number is never used for another name.
+//! Numbers of tenants that were added by revisions. A number is never reused for another name.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,22 +8,23 @@
 
 use super::unsupported::UnsupportedError;
 
-/// Tenants that may come and go while a process runs.
+/// Number of tenants that may be added while a process runs, including those that are removed again.
 pub const MAX_TENANT_NUMBERS: usize = 2 * MAX_TENANTS;
 
 /// A tenant as a request names it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantRef {
-    /// One that the node was started with, by number.
+    /// A tenant that the node was started with, by number.
     Initial(usize),
-    /// Any other name: whether there is such a tenant depends on the revision in force.
+    /// Any other name. The revision in force decides whether it has such a tenant.
     Named(Box<str>),
 }
 
 impl TenantRef {
-    /// The tenant of this name. Other names than those of the start are kept only where revisions may add tenants.
-    pub fn from_name(name: &str, started: &Numbering, may_be_added: bool) -> Option<Self> {
-        match started.get(name) {
+    /// Looks up a tenant by name. A name that the node was not started with is only kept where revisions may add
+    /// tenants.
+    pub fn from_name(name: &str, initial: &Numbering, may_be_added: bool) -> Option<Self> {
+        match initial.get(name) {
             Some(number) => Some(TenantRef::Initial(number)),
             None if may_be_added && name.len() <= MAX_NAME_BYTES => Some(TenantRef::Named(name.into())),
             None => None,
@@ -31,7 +32,7 @@
     }
 }
 
-/// Numbers of all tenants that were ever added, behind those of the start.
+/// Numbers of all tenants that were ever added. They follow those of the tenants that the node was started with.
 #[derive(Clone, Debug, Default)]
 pub struct TenantNumbers {
     first: usize,
@@ -39,9 +40,9 @@
 }
 
 impl TenantNumbers {
-    /// None yet, where the node was started with so many.
-    pub fn starting_after(started: usize) -> Self {
-        TenantNumbers { first: started, added: Arc::default() }
+    /// No numbers yet, where the node was started with this many tenants.
+    pub fn starting_after(initial: usize) -> Self {
+        TenantNumbers { first: initial, added: Arc::default() }
     }
 
     /// The number of a tenant that was added at some time.
@@ -49,12 +50,12 @@
         self.added.get(name).copied()
     }
 
-    /// One more than the greatest number.
+    /// One more than the largest number.
     pub fn next_number(&self) -> usize {
         self.first + self.added.len()
     }
 
-    /// These numbers, and new ones for names that have none. Nothing is copied where all have one.
+    /// These numbers and new ones for the names that have none. Nothing is copied if all names have one.
     pub fn extended_with<'a>(&self, names: impl Iterator<Item = &'a str>) -> Result<Self, UnsupportedError> {
         let mut numbers = self.clone();
         let new: Vec<&str> = names.filter(|name| !self.added.contains_key(*name)).collect();
@@ -65,8 +66,8 @@
             return Err(UnsupportedError::TooManyTenants);
         }
         let added = Arc::make_mut(&mut numbers.added);
-        for (next, name) in (self.next_number()..).zip(new) {
-            added.insert(name.into(), next);
+        for (number, name) in (self.next_number()..).zip(new) {
+            added.insert(name.into(), number);
         }
         Ok(numbers)
     }
--- a/crates/node/src/configuration/unsupported.rs
+++ b/crates/node/src/configuration/unsupported.rs
@@ -1,4 +1,4 @@
-//! Why a valid document cannot be in force at this node: the key, the fault, and what to do.
+//! Errors of documents that are valid but cannot be in force at this node. Each names the key, the problem and the remedy.
 
 use merlinfold_revision::Unit;
 use thiserror::Error;
@@ -9,73 +9,75 @@
 /// Why a valid document cannot be in force at this node.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnsupportedError {
-    /// Routes are part of the document; this version does not apply them.
+    /// The document has routes, which this version does not apply.
     #[error(
         "routes.{prefix}: this version applies no routes: a request names its class itself; remove the route"
     )]
     Routes {
-        /// The first of them.
+        /// Prefix of the first route.
         prefix: String,
     },
-    /// A class that the platform's configuration does not name.
+    /// The platform's configuration does not have this class.
     #[error(
         "classes.{class}: this node was started without it; add it to the platform's configuration first"
     )]
     UnknownClass {
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// A class would be aimed at later than its clients wait.
+    /// The aim of a class is longer than its clients wait.
     #[error(
         "classes.{class}.aim_ms: {aim_ms}, but clients wait for {deadline_ms}; choose no more than that"
     )]
     AimBeyondDeadline {
-        /// The class.
+        /// Name of the class.
         class: String,
         /// Its aim.
         aim_ms: u32,
         /// How long its clients wait.
         deadline_ms: u64,
     },
-    /// A limit that this version does not know.
+    /// This version does not have this limit.
     #[error(
         "limits.{limit}: this version applies {LIMIT_NAMES}; remove it, or finish the upgrade of this node"
     )]
     UnknownLimit {
-        /// The limit.
+        /// Name of the limit.
         limit: String,
     },
-    /// A limit in another unit.
+    /// The limit is stated in a wrong unit.
     #[error("limits.{limit}.unit: {unit}, but it is counted in {expected}; state it in that unit")]
     LimitUnit {
-        /// The limit.
+        /// Name of the limit.
         limit: String,
-        /// Its unit.
+        /// The stated unit.
         unit: Unit,
-        /// The unit that it has here.
+        /// The unit of this limit.
         expected: Unit,
     },
-    /// A limit out of what the platform allows.
-    #[error("limits.{limit}.value: {value} is not within {least} and {most}, as this node was started; choose a value that is")]
+    /// The limit is beyond the bounds that the platform's configuration sets.
+    #[error("limits.{limit}.value: {value} is not within {min} and {max}, as this node was started; choose a value that is")]
     LimitOutOfBounds {
-        /// The limit.
+        /// Name of the limit.
         limit: String,
         /// Its value.
         value: u64,
-        /// Least value that is possible.
-        least: u64,
-        /// Largest value that is possible.
-        most: u64,
+        /// Smallest allowed value.
+        min: u64,
+        /// Largest allowed value.
+        max: u64,
     },
-    /// A share of nothing.
-    #[error("tenants.{tenant}.share: there is no limit fleet_requests to have a share of; set it in the same delta")]
+    /// A tenant has a share of the fleet's requests, but these have no limit.
+    #[error(
+        "tenants.{tenant}.share: there is no limit fleet_requests that it is a share of; set it in the same delta"
+    )]
     ShareWithoutLimit {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
     },
-    /// More tenants have come and gone than this process keeps numbers for.
+    /// The process has no numbers left for new tenants.
     #[error(
-        "tenants: over {MAX_TENANT_NUMBERS} have come and gone since this process started; restart the node"
+        "tenants: over {MAX_TENANT_NUMBERS} have been added since this process started; restart the node"
     )]
     TooManyTenants,
 }
--- a/crates/node/src/console/configuration.rs
+++ b/crates/node/src/console/configuration.rs
@@ -1,4 +1,4 @@
-//! The versioned configuration for operators: how it stands, changes of it, and going back.
+//! Console calls about the versioned configuration: its status, changes and rollbacks.
 
 use std::sync::Arc;
 
@@ -18,36 +18,37 @@
     Applier, ApplyError, FleetProgress, LocalStatus, Publication, PublicationError, Publisher, RevisionId,
 };
 
-/// How the configuration stands, and changes of it.
+/// Path of the configuration's status (GET) and of changes (POST).
 pub const PATH: &str = "/fleet/configuration";
-/// The document in force.
+/// Path of the document in force.
 pub const DOCUMENT_PATH: &str = "/fleet/configuration/document";
-/// Going back.
+/// Path of rollbacks.
 pub const ROLLBACK_PATH: &str = "/fleet/configuration/rollback";
 
-/// Bytes of a delta as JSON: one that names each of 30,000 tenants fits.
-const MAX_DELTA_JSON: usize = 4 << 20;
+/// Size limit of a change as JSON. A delta of 30,000 tenants fits.
+const MAX_CHANGE_BYTES: usize = 4 << 20;
 
-/// Back to an earlier revision.
+/// A rollback to an earlier revision.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Rollback {
-    /// The revision that has to be in force, so that nobody's change is undone unseen.
+    /// The revision that must be in force, so that no change is undone that the operator does not know of.
     from: u64,
-    /// The revision whose content is wanted.
+    /// The revision whose content is restored.
     to: u64,
     /// As in [`Proposal::over_missing`].
     #[serde(default)]
     over_missing: bool,
 }
 
-/// A delta, with how it is to be published.
+/// A change to publish.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Proposal {
-    /// What changes.
+    /// The delta from the revision in force.
     delta: Delta,
-    /// Although a later revision was agreed on: its content is lost, and the operator knows that.
+    /// Whether to publish although a later revision was agreed on. The operator confirms by it that the content of that
+    /// revision is lost.
     #[serde(default)]
     over_missing: bool,
 }
@@ -64,7 +65,7 @@
     epoch: u64,
 }
 
-/// What is to be published, and the revision that it is based on.
+/// A checked change, with the revision that it is based on.
 struct PendingChange {
     base: RevisionId,
     delta: Delta,
@@ -72,81 +73,91 @@
     over_missing: bool,
 }
 
-/// Calls about the configuration.
+/// The console's API for the versioned configuration.
 pub struct ConfigurationApi {
     applier: Arc<Applier>,
     publisher: Arc<dyn Publisher>,
-    /// Held while a change is read and published: memory for one at a time.
+    /// Locked while a change is read and published, which limits the memory to that of one change.
     publishing: Mutex<()>,
 }
 
 impl ConfigurationApi {
-    /// At a node with this state and this way to the others.
+    /// Serves the configuration of this applier and publishes through this publisher.
     pub fn new(applier: Arc<Applier>, publisher: Arc<dyn Publisher>) -> Self {
         ConfigurationApi { applier, publisher, publishing: Mutex::default() }
     }
 
     async fn publish(&self, path: &str, body: Incoming) -> Result<Response<Full<Bytes>>, ErrorResponse> {
-        let busy =
-            |_| refusal(StatusCode::SERVICE_UNAVAILABLE, "another change is being published here: try again");
-        let _one = self.publishing.try_lock().map_err(busy)?;
-        let body = read_body(path, body, MAX_DELTA_JSON).await?;
+        let busy = |_| {
+            error_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "another change is being published here: try again",
+            )
+        };
+        let _publishing = self.publishing.try_lock().map_err(busy)?;
+        let body = read_body(path, body, MAX_CHANGE_BYTES).await?;
         let applier = self.applier.clone();
-        let goes_back = path == ROLLBACK_PATH;
-        let change = move || if goes_back { rollback(&applier, &body) } else { delta(&applier, &body) };
+        let is_rollback = path == ROLLBACK_PATH;
+        let change = move || {
+            if is_rollback {
+                rollback_change(&applier, &body)
+            } else {
+                proposed_change(&applier, &body)
+            }
+        };
         let (base, publication) =
-            spawn_blocking(move || change().map(publication)).await.map_err(failed)??;
-        info!(path, %base, "console: configuration to be published");
+            spawn_blocking(move || change().map(publication)).await.map_err(internal_error)??;
+        info!(path, %base, "console: publishing a configuration change");
         let published = timeout(COMMIT_TIMEOUT, self.publisher.publish(publication)).await;
-        let id = published.unwrap_or(Err(PublicationError::Unconfirmed)).map_err(not_published)?;
-        json(&Published { revision: id.number, epoch: id.epoch })
+        let id = published.unwrap_or(Err(PublicationError::Unconfirmed)).map_err(publication_error)?;
+        json_response(&Published { revision: id.number, epoch: id.epoch })
     }
 
     async fn document(&self) -> Result<Response<Full<Bytes>>, ErrorResponse> {
         let applier = self.applier.clone();
-        let shown = spawn_blocking(move || json(&*applier.document())).await;
-        shown.map_err(failed)?
+        let response = spawn_blocking(move || json_response(&*applier.document())).await;
+        response.map_err(internal_error)?
     }
 
-    fn standing(&self) -> Result<Response<Full<Bytes>>, ErrorResponse> {
-        json(&ConfigurationStatus { here: self.applier.status(), fleet: self.publisher.progress() })
+    fn status(&self) -> Result<Response<Full<Bytes>>, ErrorResponse> {
+        json_response(&ConfigurationStatus { here: self.applier.status(), fleet: self.publisher.progress() })
     }
 }
 
 /// Answers a call about the configuration.
 pub(super) async fn answer(
-    path: &str, method: Method, body: Incoming, calls: Option<Arc<ConfigurationApi>>,
+    path: &str, method: Method, body: Incoming, api: Option<Arc<ConfigurationApi>>,
 ) -> Result<Response<Full<Bytes>>, ErrorResponse> {
-    let none = || {
-        refusal(
+    let not_configured = || {
+        error_response(
             StatusCode::NOT_FOUND,
             "no versioned configuration: merlinfold.toml has no [fleet.configuration]",
         )
     };
-    let calls = calls.ok_or_else(none)?;
+    let api = api.ok_or_else(not_configured)?;
     match path {
-        _ if method == Method::POST => calls.publish(path, body).await,
-        DOCUMENT_PATH => calls.document().await,
-        _ => calls.standing(),
+        _ if method == Method::POST => api.publish(path, body).await,
+        DOCUMENT_PATH => api.document().await,
+        _ => api.status(),
     }
 }
 
-/// The change that a delta states.
-fn delta(applier: &Applier, body: &[u8]) -> Result<PendingChange, ErrorResponse> {
+/// Reads and checks a proposed change.
+fn proposed_change(applier: &Applier, body: &[u8]) -> Result<PendingChange, ErrorResponse> {
     let Proposal { delta, over_missing } = parse(PATH, body)?;
-    let (base, document) = applier.check(&delta).map_err(not_applicable)?;
+    let (base, document) = applier.check(&delta).map_err(apply_error)?;
     Ok(PendingChange { base, delta, document, over_missing })
 }
 
-/// The change that goes back to an earlier revision.
-fn rollback(applier: &Applier, body: &[u8]) -> Result<PendingChange, ErrorResponse> {
+/// Reads and checks a rollback to an earlier revision.
+fn rollback_change(applier: &Applier, body: &[u8]) -> Result<PendingChange, ErrorResponse> {
     let Rollback { from, to, over_missing } = parse(ROLLBACK_PATH, body)?;
-    let delta = applier.rollback_delta(from, to).map_err(not_applicable)?;
-    let (base, document) = applier.check(&delta).map_err(not_applicable)?;
+    let delta = applier.rollback_delta(from, to).map_err(apply_error)?;
+    let (base, document) = applier.check(&delta).map_err(apply_error)?;
     Ok(PendingChange { base, delta, document, over_missing })
 }
 
-/// The change as it is published, with the number of its base.
+/// Encodes a change for publication, and returns it with its base.
 fn publication(change: PendingChange) -> (RevisionId, Publication) {
     let PendingChange { base, delta, document, over_missing } = change;
     let publication = Publication {
@@ -160,38 +171,38 @@
 }
 
 fn parse<T: for<'read> Deserialize<'read>>(path: &str, body: &[u8]) -> Result<T, ErrorResponse> {
-    let fault = |error| refusal(StatusCode::BAD_REQUEST, format!("{path}: body: {error}"));
-    serde_json::from_slice(body).map_err(fault)
+    let invalid = |error| error_response(StatusCode::BAD_REQUEST, format!("{path}: body: {error}"));
+    serde_json::from_slice(body).map_err(invalid)
 }
 
-fn refusal(status: StatusCode, fault: impl Into<String>) -> ErrorResponse {
-    ErrorResponse::new(status, fault)
+fn error_response(status: StatusCode, message: impl Into<String>) -> ErrorResponse {
+    ErrorResponse::new(status, message)
 }
 
-fn failed(error: impl std::fmt::Display) -> ErrorResponse {
-    refusal(StatusCode::INTERNAL_SERVER_ERROR, error.to_string())
+fn internal_error(error: impl std::fmt::Display) -> ErrorResponse {
+    error_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string())
 }
 
-fn not_applicable(error: ApplyError) -> ErrorResponse {
+fn apply_error(error: ApplyError) -> ErrorResponse {
     let status = match &error {
         ApplyError::Delta(Fault::Conflict { .. } | Fault::OtherContent { .. }) => StatusCode::CONFLICT,
         ApplyError::NotHeld(_) => StatusCode::CONFLICT,
         ApplyError::Ended => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::BAD_REQUEST,
     };
-    refusal(status, error.to_string())
+    error_response(status, error.to_string())
 }
 
-fn not_published(error: PublicationError) -> ErrorResponse {
+fn publication_error(error: PublicationError) -> ErrorResponse {
     let status = match &error {
         PublicationError::Conflict(_) => StatusCode::CONFLICT,
         PublicationError::Refused(_) => StatusCode::BAD_REQUEST,
         PublicationError::Unconfirmed | PublicationError::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
     };
-    refusal(status, error.to_string())
+    error_response(status, error.to_string())
 }
 
-fn json(shown: &impl Serialize) -> Result<Response<Full<Bytes>>, ErrorResponse> {
-    let shown = serde_json::to_string_pretty(shown).map_err(failed)?;
-    Ok(text(StatusCode::OK, shown + "\n"))
+fn json_response(value: &impl Serialize) -> Result<Response<Full<Bytes>>, ErrorResponse> {
+    let json = serde_json::to_string_pretty(value).map_err(internal_error)?;
+    Ok(text(StatusCode::OK, json + "\n"))
 }
--- a/crates/node/src/console/log.rs
+++ b/crates/node/src/console/log.rs
@@ -1,4 +1,4 @@
-//! The agreed log for operators: how it stands, and values to be agreed.
+//! Console calls about the replicated log: its status, and proposals of values.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,50 +12,49 @@
 
 const PATH: &str = "/fleet/log";
 
-/// A value to be agreed.
+/// A proposal to set the value of a key.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Set {
-    /// 32 hex digits, drawn by the caller: the same id takes effect once, so a call without an answer can be repeated.
+struct SetRequest {
+    /// 32 hex digits, chosen by the caller. The same id takes effect once, so a call without an answer can be repeated.
     id: String,
     key: String,
     value: String,
-    /// Only where it stands at this revision; 0: only where there is none.
+    /// Sets the value only if the key is at this revision, or for 0 only if the key has no value.
     expect: Option<u64>,
 }
 
+/// Answers a call about the replicated log.
 pub(super) async fn answer(
     method: Method, body: Incoming, log: Option<LogHandle>,
 ) -> Result<Response<Full<Bytes>>, ErrorResponse> {
-    let none =
-        || ErrorResponse::new(StatusCode::NOT_FOUND, "no agreed log: merlinfold.toml has no [fleet.log]");
-    let log = log.ok_or_else(none)?;
+    let no_log =
+        || ErrorResponse::new(StatusCode::NOT_FOUND, "no replicated log: merlinfold.toml has no [fleet.log]");
+    let log = log.ok_or_else(no_log)?;
     if method != Method::POST {
-        let shown = serde_json::to_string_pretty(&log.view());
-        let shown = shown
-            .map_err(|error| ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()))?;
-        return Ok(text(StatusCode::OK, shown + "\n"));
+        let view = serde_json::to_string_pretty(&log.view());
+        let view =
+            view.map_err(|error| ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()))?;
+        return Ok(text(StatusCode::OK, view + "\n"));
     }
-    let Set { id, key, value, expect } = read_json(PATH, body).await?;
+    let SetRequest { id, key, value, expect } = read_json(PATH, body).await?;
     let number = u128::from_str_radix(&id, 16).ok().filter(|number| *number != 0);
     let number = number.ok_or_else(|| {
-        ErrorResponse::new(
-            StatusCode::BAD_REQUEST,
-            format!("{PATH}: id {id:.40}: 1 to 32 hex digits, not all 0"),
-        )
+        let message = format!("{PATH}: id {id:.40}: expected 1 to 32 hex digits, not all 0");
+        ErrorResponse::new(StatusCode::BAD_REQUEST, message)
     })?;
-    info!(id, key, ?expect, "console: to be agreed");
+    info!(id, key, ?expect, "console: proposing a value for the replicated log");
     match log.set(number, key, value.into_bytes(), expect).await {
         Ok(revision) => Ok(text(StatusCode::OK, format!("{revision}\n"))),
-        Err(why) => {
-            let status = match why {
+        Err(error) => {
+            let status = match error {
                 NotAgreed::SetAside(_) => StatusCode::CONFLICT,
                 NotAgreed::Unsent(_) => StatusCode::BAD_REQUEST,
                 NotAgreed::Unconfirmed | NotAgreed::Busy | NotAgreed::Ended => {
                     StatusCode::SERVICE_UNAVAILABLE
                 }
             };
-            Err(ErrorResponse::new(status, why.to_string()))
+            Err(ErrorResponse::new(status, error.to_string()))
         }
     }
 }
--- a/crates/node/src/console/mod.rs
+++ b/crates/node/src/console/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: one call a connection, handed to the driver and answered from its state.
+//! The console: the HTTP listener for operators. It takes one call per connection, which the driver or the fleet answers.
 
 mod configuration;
 mod log;
@@ -32,14 +32,21 @@
 
 pub use configuration::ConfigurationApi;
 
-const CALL_TIMEOUT: Duration = Duration::from_secs(3); // for a whole call: callers wait 1 s
-const COMMIT_TIMEOUT: Duration = Duration::from_secs(14); // for one that waits until something is agreed
-const BACKLOG: u32 = 64; // callers that the kernel holds until they are accepted
-const MAX_BODY_BYTES: usize = 4 << 10; // bytes: a member's name fits many times over
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10); // after a failed accept, so as not to spin
-const ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1); // between log lines on calls that were no good
-
-/// Opens the listener. Unlike the clients' address no two processes share it: a call is meant for one of them.
+/// Timeout of a call; callers wait 1 s.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Additional timeout of a call that waits until the fleet agrees on a value or revision.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(14);
+/// Connections that wait in the kernel to be accepted.
+const BACKLOG: u32 = 64;
+/// Size limit of a body, many times that of a member's name.
+const MAX_BODY_BYTES: usize = 4 << 10;
+/// Pause after a failed accept, which keeps the loop from spinning.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Shortest interval between log lines about failed calls.
+const ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Opens the listener. Unlike the clients' address, two processes cannot share it, because a call is meant for one of
+/// them.
 pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -47,40 +54,41 @@
     socket.listen(BACKLOG)
 }
 
-/// What of the fleet operators may call, as far as the node has it.
+/// The parts of the fleet that the console gives access to, where the node is configured for them.
 #[derive(Clone, Default)]
 pub struct FleetApi {
     pub log: Option<LogHandle>,
     pub configuration: Option<Arc<ConfigurationApi>>,
 }
 
-/// Takes calls for as long as the node runs.
+/// Accepts calls for as long as the node runs.
 pub async fn serve(listener: TcpListener, inputs: UnboundedSender<Input>, fleet: FleetApi) {
-    let mut callers: VecDeque<AbortHandle> = VecDeque::new();
-    let mut faults = ErrorLog::default();
-    let (tell, mut told) = tokio::sync::mpsc::channel(MAX_CONSOLE_CALLERS);
+    let mut connections: VecDeque<AbortHandle> = VecDeque::new();
+    let mut error_log = ErrorLog::default();
+    let (error_sender, mut errors) = tokio::sync::mpsc::channel(MAX_CONSOLE_CALLERS);
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    callers.retain(|caller| !caller.is_finished());
-                    if callers.len() >= MAX_CONSOLE_CALLERS {
-                        // Those who sit there keep nobody out.
-                        callers.pop_front().into_iter().for_each(|oldest| oldest.abort());
+                    connections.retain(|connection| !connection.is_finished());
+                    if connections.len() >= MAX_CONSOLE_CALLERS {
+                        // Connections that stay open must not keep others out.
+                        connections.pop_front().into_iter().for_each(|oldest| oldest.abort());
                     }
-                    callers.push_back(tokio::spawn(caller(stream, inputs.clone(), fleet.clone(), tell.clone())).abort_handle());
+                    let connection = serve_connection(stream, inputs.clone(), fleet.clone(), error_sender.clone());
+                    connections.push_back(tokio::spawn(connection).abort_handle());
                 }
                 Err(error) => {
-                    warn!(%error, "console: accept");
-                    sleep(ACCEPT_PAUSE).await;
+                    warn!(%error, "console: cannot accept a connection; retrying");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
-            Some(fault) = told.recv() => faults.log(fault),
+            Some(message) = errors.recv() => error_log.log(message),
         }
     }
 }
 
-/// Names what was wrong with calls, at most once in a while: anyone who reaches the address drives them.
+/// Logs why calls failed, at a limited rate, because anyone who reaches the address can cause such errors.
 #[derive(Default)]
 struct ErrorLog {
     logged: Option<Instant>,
@@ -93,27 +101,28 @@
             self.unlogged += 1;
             return;
         }
-        warn!(fault, not_logged_before = std::mem::take(&mut self.unlogged), "console: call not carried out");
+        warn!(fault, not_logged_before = std::mem::take(&mut self.unlogged), "console: call failed");
         self.logged = Some(Instant::now());
     }
 }
 
-async fn caller(
+/// Serves one call on a connection, and reports its error if it fails.
+async fn serve_connection(
     stream: TcpStream, inputs: UnboundedSender<Input>, fleet: FleetApi,
-    faults: tokio::sync::mpsc::Sender<String>,
+    errors: tokio::sync::mpsc::Sender<String>,
 ) {
     let service = service_fn(|request| {
-        let (inputs, fleet, faults) = (inputs.clone(), fleet.clone(), faults.clone());
+        let (inputs, fleet, errors) = (inputs.clone(), fleet.clone(), errors.clone());
         async move {
-            let answer = answer(request, &inputs, fleet).await.unwrap_or_else(|refusal| {
-                let _ = faults.try_send(refusal.fault.clone()); // a full channel says enough by what is in it
-                refusal.into_response()
+            let answer = answer(request, &inputs, fleet).await.unwrap_or_else(|error| {
+                let _ = errors.try_send(error.message.clone()); // a full channel has enough errors to log
+                error.into_response()
             });
             Ok::<_, Infallible>(answer)
         }
     });
     if stream.set_nodelay(true).is_err() {
-        return; // a stream that takes no option has ended already
+        return; // setting an option fails only on a closed connection
     }
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -121,24 +130,24 @@
         .header_read_timeout(CALL_TIMEOUT)
         .max_buf_size(8 << 10)
         .serve_connection(TokioIo::new(Shared::new(stream)), service);
-    // Who calls and how it ends for them is their business; the limit covers a caller who never reads.
+    // Errors of the connection concern the caller only. The timeout covers a caller that never reads the answer.
     let _ = timeout(CALL_TIMEOUT + COMMIT_TIMEOUT, connection).await;
 }
 
-/// A no, and why.
+/// An HTTP error with a message for the operator.
 struct ErrorResponse {
     status: StatusCode,
-    fault: String,
+    message: String,
     allow: Option<&'static str>,
 }
 
 impl ErrorResponse {
-    fn new(status: StatusCode, fault: impl Into<String>) -> Self {
-        ErrorResponse { status, fault: fault.into(), allow: None }
+    fn new(status: StatusCode, message: impl Into<String>) -> Self {
+        ErrorResponse { status, message: message.into(), allow: None }
     }
 
     fn into_response(self) -> Response<Full<Bytes>> {
-        let mut response = text(self.status, format!("{}\n", self.fault));
+        let mut response = text(self.status, format!("{}\n", self.message));
         if let Some(allow) = self.allow {
             response.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
         }
@@ -154,11 +163,13 @@
     response
 }
 
+/// Body of a maintenance call.
 #[derive(Deserialize)]
-struct Member {
+struct MaintenanceRequest {
     member: String,
 }
 
+/// Answers a call by the driver or the fleet.
 async fn answer(
     request: Request<Incoming>, inputs: &UnboundedSender<Input>, fleet: FleetApi,
 ) -> Result<Response<Full<Bytes>>, ErrorResponse> {
@@ -172,12 +183,12 @@
         | "/active"
         | configuration::ROLLBACK_PATH => "POST",
         "/fleet/log" | configuration::PATH => "GET, HEAD, POST",
-        _ => return Err(ErrorResponse::new(StatusCode::NOT_FOUND, format!("no such call: {path:.100}"))),
+        _ => return Err(ErrorResponse::new(StatusCode::NOT_FOUND, format!("unknown path: {path:.100}"))),
     };
     if !allowed.split(", ").any(|method| method == head.method.as_str()) {
-        let fault = format!("{path} takes {allowed}, not {:.20}", head.method.as_str());
-        let refusal = ErrorResponse::new(StatusCode::METHOD_NOT_ALLOWED, fault);
-        return Err(ErrorResponse { allow: Some(allowed), ..refusal });
+        let message = format!("{path}: method {:.20} is not allowed, use {allowed}", head.method.as_str());
+        let error = ErrorResponse::new(StatusCode::METHOD_NOT_ALLOWED, message);
+        return Err(ErrorResponse { allow: Some(allowed), ..error });
     }
     if path == "/fleet/log" {
         return self::log::answer(head.method, body, fleet.log).await;
@@ -194,12 +205,12 @@
         _ => Call::Maintenance { member: member(path, body).await?, out: path.ends_with("/enter") },
     };
     if head.method == Method::POST {
-        info!(?call, "console");
+        info!(?call, "console call");
     }
     let (said, answer) = oneshot::channel();
-    let gone = || ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, "the node ends");
-    inputs.send(Input::Call { call, said }).map_err(|_| gone())?;
-    match answer.await.map_err(|_| gone())? {
+    let stopping = || ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, "the node is stopping");
+    inputs.send(Input::Call { call, said }).map_err(|_| stopping())?;
+    match answer.await.map_err(|_| stopping())? {
         Said::Yes(words) => Ok(text(StatusCode::OK, words)),
         Said::NotNow(why) => Err(ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, why)),
         Said::Conflict(why) => Err(ErrorResponse::new(StatusCode::CONFLICT, why)),
@@ -207,29 +218,31 @@
     }
 }
 
-/// The member that a call's body names.
+/// Reads the member that a call's body names.
 async fn member(path: &str, body: Incoming) -> Result<String, ErrorResponse> {
-    let member: Member = read_json(path, body).await?;
-    Ok(member.member)
+    let request: MaintenanceRequest = read_json(path, body).await?;
+    Ok(request.member)
 }
 
-/// What a call's body says.
+/// Reads a call's body as JSON.
 async fn read_json<T: serde::de::DeserializeOwned>(path: &str, body: Incoming) -> Result<T, ErrorResponse> {
     let body = read_body(path, body, MAX_BODY_BYTES).await?;
-    let fault = |error| ErrorResponse::new(StatusCode::BAD_REQUEST, format!("{path}: body: {error}"));
-    serde_json::from_slice(&body).map_err(fault)
+    let invalid = |error| ErrorResponse::new(StatusCode::BAD_REQUEST, format!("{path}: body: {error}"));
+    serde_json::from_slice(&body).map_err(invalid)
 }
 
-/// A call's body, of so many bytes at most.
-async fn read_body(path: &str, body: Incoming, most: usize) -> Result<Bytes, ErrorResponse> {
-    let fault = |status, what: String| ErrorResponse::new(status, format!("{path}: {what}"));
-    match timeout(CALL_TIMEOUT, Limited::new(body, most).collect()).await {
+/// Reads a call's body of at most `max_bytes`.
+async fn read_body(path: &str, body: Incoming, max_bytes: usize) -> Result<Bytes, ErrorResponse> {
+    let error_response = |status, message: String| ErrorResponse::new(status, format!("{path}: {message}"));
+    match timeout(CALL_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err(fault(StatusCode::PAYLOAD_TOO_LARGE, format!("body over {most} bytes")))
+            Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, format!("body over {max_bytes} bytes")))
+        }
+        Ok(Err(error)) => Err(error_response(StatusCode::BAD_REQUEST, format!("body: {error}"))),
+        Err(_) => {
+            Err(error_response(StatusCode::REQUEST_TIMEOUT, "the body did not arrive in time".to_owned()))
         }
-        Ok(Err(error)) => Err(fault(StatusCode::BAD_REQUEST, format!("body: {error}"))),
-        Err(_) => Err(fault(StatusCode::REQUEST_TIMEOUT, "body not whole in time".to_owned())),
     }
 }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The real node: the decision module on sockets. Each part reports to the driver by messages.
+//! The node: it runs the decision module on real sockets. Each part of it reports to the driver by messages.
 
 mod body;
 mod capacity;
@@ -41,16 +41,18 @@
 use merlinfold_fleet::{Disks, Fleet, Snapshot};
 use merlinfold_settings::{Env, HostLimits, Names};
 
-const DEFAULT_MEMORY_MB: f64 = 32.0; // MB; taken where the configuration does not say
-const MIN_SOCKETS: usize = 64; // descriptors below which no useful node fits
+/// Memory limit where the configuration states none.
+const DEFAULT_MEMORY_MB: f64 = 32.0;
+/// Fewest descriptors with which a node can do useful work.
+const MIN_SOCKETS: usize = 64;
 
-/// What a node is told at its start.
+/// The configuration that a node is started with.
 #[derive(Debug, Deserialize)]
 pub struct Config {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
-    /// Where operators call; none: nowhere.
+    /// Address of the operators' console. Without it there is none.
     console: Option<SocketAddr>,
     seed: String,
     limits: Limits,
@@ -69,49 +71,53 @@
 }
 
 impl Config {
-    /// Reads the configuration; the error is one line that names the field.
+    /// Parses the configuration. The error is one line that names the field.
     pub fn parse(text: &str) -> Result<Self, String> {
         let from = &mut serde_json::Deserializer::from_str(text);
         serde_path_to_error::deserialize(from).map_err(|error| error.to_string())
     }
 
-    /// Whether a node could start from this text, short of opening its sockets. The error starts with the
-    /// line, where the text itself is at fault, and names the field.
+    /// Checks whether a node could start from this text, without opening its sockets. The error names the field, and
+    /// starts with the line if the text cannot be parsed.
     pub fn validate(text: &str) -> Result<(), String> {
         let from = &mut serde_json::Deserializer::from_str(text);
-        let read: Result<Config, _> = serde_path_to_error::deserialize(from);
-        let config = read.map_err(|error| format!("{}: {error}", error.inner().line()))?;
-        config.check(&mut Names::default()).map(drop).map_err(|fault| format!(" {fault}"))
+        let parsed: Result<Config, _> = serde_path_to_error::deserialize(from);
+        let config = parsed.map_err(|error| format!("{}: {error}", error.inner().line()))?;
+        config.check(&mut Names::default()).map(drop).map_err(|error| format!(" {error}"))
     }
 
-    /// Whether a node could start from it, short of opening its sockets.
+    /// Checks whether a node could start from it, without opening its sockets. Returns the limits of the host, the settings
+    /// and the random seed.
     fn check(&self, names: &mut Names) -> Result<(HostLimits, Settings, u64), String> {
-        let in_settings = |fault| format!("settings: {fault}");
+        let in_settings = |error| format!("settings: {error}");
         let host = self.settings.host_limits().map_err(in_settings)?;
         let settings = self.settings.settings(names).map_err(in_settings)?;
         let seed = u64::from_str_radix(&self.seed, 16).map_err(|error| format!("seed: {error}"))?;
         if self.limits.sockets < MIN_SOCKETS {
-            return Err(format!("limits.sockets: under {MIN_SOCKETS}"));
+            return Err(format!(
+                "limits.sockets: expected at least {MIN_SOCKETS}, got {}",
+                self.limits.sockets
+            ));
         }
         if self.console == Some(self.listen) && self.listen.port() != 0 {
-            return Err(format!("console: {} is where clients connect", self.listen));
+            return Err(format!("console: {} is already the address for clients (listen)", self.listen));
         }
         Ok((host, settings, seed))
     }
 }
 
-/// Brings a changed configuration to a node that runs. Only where discovery is may change; all else
-/// is read at the start.
+/// Passes a changed configuration to a running node. Only the address of discovery takes effect; everything else is read
+/// at the start.
 pub struct Reloader(watch::Sender<SocketAddr>);
 
 impl Reloader {
-    /// Takes over what the new text says, or nothing if no node could start from it.
+    /// Applies the new configuration, or rejects it if no node could start from it.
     pub fn reload(&self, text: &str) -> Result<(), String> {
         let config = Config::parse(text)?;
         config.check(&mut Names::default())?;
         let discovery = config.discovery;
-        let moved = self.0.send_if_modified(|now| std::mem::replace(now, discovery) != discovery);
-        info!(%discovery, moved, "configuration read again");
+        let moved = self.0.send_if_modified(|current| std::mem::replace(current, discovery) != discovery);
+        info!(%discovery, moved, "configuration reloaded");
         Ok(())
     }
 }
@@ -135,24 +141,24 @@
 impl Node {
     /// Checks the configuration and opens the sockets.
     ///
-    /// `folder` is what all processes of this node have in common; without it each is alone.
+    /// All processes of this node share state under `folder`. Without it they do not know of each other.
     pub async fn bind(config: Config, folder: Option<&Path>) -> Result<Self, String> {
         let (mut names, clock) = (Names::default(), Clock::new());
         let (host, settings, seed) = config.check(&mut names)?;
-        let cannot = |what, at| move |error: io::Error| format!("{what}: cannot use {at}: {error}");
-        let socket = bind(config.listen).map_err(cannot("listen", config.listen))?;
-        let open_console = |at| console::listen(at).map_err(cannot("console", at));
+        let cannot_use = |field, at| move |error: io::Error| format!("{field}: cannot use {at}: {error}");
+        let socket = bind(config.listen).map_err(cannot_use("listen", config.listen))?;
+        let open_console = |at| console::listen(at).map_err(cannot_use("console", at));
         let console = config.console.map(open_console).transpose()?;
         let (sender, inputs) = mpsc::unbounded_channel();
         let peers = match config.peer_listen {
             Some(at) => {
-                let socket = bind_datagram(at).map_err(cannot("peer_listen", at))?;
+                let socket = bind_datagram(at).map_err(cannot_use("peer_listen", at))?;
                 Some(peers::Peers::new(socket, config.peers, config.peers_all, settings.me))
             }
             None => None,
         };
-        let asks = settings.discovery == Discovery::Ask;
-        let (moves, address) = watch::channel(config.discovery);
+        let polls_discovery = settings.discovery == Discovery::Ask;
+        let (discovery_address, address) = watch::channel(config.discovery);
         let known = config.known.as_ref().filter(|list| list.snapshot).map(|list| list.index);
         let retry = match settings.discovery {
             Discovery::Ask => discovery::RetryPolicy::shared(settings.ask_within, seed),
@@ -162,19 +168,20 @@
         let memory = (config.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) * f64::from(1 << 20)) as usize; // saturates
         let capacity = capacity::Capacity::new(config.limits.sockets, memory, false);
         let baseline = Baseline::new(&settings, &names, host.open_requests);
-        // The watcher alone asks for the list; to the module it comes by itself.
+        // Only the watcher polls discovery. To the decision module every list is pushed.
         let balancer = Balancer::new(Settings { discovery: Discovery::Push, ..settings.clone() }, seed);
         let mut driver =
             driver::Driver::new(balancer, names.clone(), clock, host, capacity.clone(), sender.clone());
         let front = front::Front::new(&settings, &names, clock, sender, capacity, driver.posture());
         driver.tell_through(peers.as_ref());
-        // Before the list: no request may go to a server that is out, nor may one be taken in standby.
+        // This comes before the list, so that no request goes to a server that is out, or is accepted in standby.
         if let Some(folder) = folder {
             driver.share(handover::Handover::new(folder, &config.name));
         }
-        driver.known(config.known.unwrap_or_default(), !asks);
-        let opens = driver.posture().borrow().may_listen;
-        let listener = front::ClientListener::new(socket, opens).map_err(cannot("listen", config.listen))?;
+        driver.known(config.known.unwrap_or_default(), !polls_discovery);
+        let may_listen = driver.posture().borrow().may_listen;
+        let listener =
+            front::ClientListener::new(socket, may_listen).map_err(cannot_use("listen", config.listen))?;
         let (fleet, configuration, name) = (None, None, config.name);
         Ok(Node {
             listener,
@@ -187,112 +194,115 @@
             fleet,
             baseline,
             configuration,
-            discovery_address: moves,
+            discovery_address,
             name,
         })
     }
 
-    /// Lets the node take part in a fleet under its own name. Serving waits for nothing that the fleet does.
+    /// Makes the node a member of a fleet under its own name. Serving clients never waits for the fleet.
     pub fn join(&mut self, settings: FleetSettings, disks: Disks) -> Result<(), String> {
         let at = settings.listen;
         let opened = Fleet::open(&self.name, settings);
-        let (mut fleet, seen) = opened.map_err(|error| format!("fleet.listen: cannot use {at}: {error}"))?;
-        self.distribute(&mut fleet);
-        self.fleet = Some((fleet.on(disks), seen));
+        let (mut fleet, snapshots) =
+            opened.map_err(|error| format!("fleet.listen: cannot use {at}: {error}"))?;
+        self.use_fleet_configuration(&mut fleet);
+        self.fleet = Some((fleet.on(disks), snapshots));
         self.driver.expect_fleet();
         Ok(())
     }
 
-    /// Takes configuration from the fleet, where its settings say so.
-    fn distribute(&mut self, fleet: &mut Fleet) {
+    /// Takes configuration from the fleet, if the fleet's settings enable that.
+    fn use_fleet_configuration(&mut self, fleet: &mut Fleet) {
         let applier =
             Arc::new(Applier::new(self.baseline.clone(), input::deliver_changes(self.driver.sender())));
         let content = Arc::new(NodeContent(applier.clone()));
         let Some(handle) = fleet.serve_configuration(content) else { return };
-        self.configure(applier, Arc::new(FleetPublisher(handle)));
+        self.enable_configuration(applier, Arc::new(FleetPublisher(handle)));
     }
 
-    /// Lets revisions of a versioned configuration come into force while the node runs. What brings them hands them to
-    /// the applier; operators publish through `publisher`.
-    fn configure(&mut self, applier: Arc<Applier>, publisher: Arc<dyn Publisher>) {
+    /// Lets revisions of a versioned configuration come into force while the node runs. They arrive through `applier`, and
+    /// operators publish through `publisher`.
+    fn enable_configuration(&mut self, applier: Arc<Applier>, publisher: Arc<dyn Publisher>) {
         self.front.expect_tenants();
         self.configuration = Some(Arc::new(ConfigurationApi::new(applier, publisher)));
     }
 
-    /// Where operators call, if anywhere.
+    /// Address of the operators' console, if there is one.
     pub fn console_address(&self) -> Option<SocketAddr> {
         self.console.as_ref().and_then(|console| console.local_addr().ok())
     }
 
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.address()
     }
 
-    /// By what a changed configuration reaches the node while it runs.
+    /// Passes changed configurations to this node while it runs.
     pub fn reloader(&self) -> Reloader {
         Reloader(self.discovery_address.clone())
     }
 
-    /// Serves until the signal comes and all that was taken has been answered.
+    /// Serves until `stop` completes and all accepted requests have been answered.
     pub async fn run(self, stop: impl Future<Output = ()>) {
         let address = self.listener.address().map_or_else(|error| error.to_string(), |at| at.to_string());
         info!(name = self.name, %address, "serving");
-        let mut parts = tokio::task::JoinSet::new();
+        let mut tasks = tokio::task::JoinSet::new();
         let sender = self.driver.sender();
-        parts.spawn(self.driver.run(self.inputs));
-        parts.spawn(self.discovery.run());
+        tasks.spawn(self.driver.run(self.inputs));
+        tasks.spawn(self.discovery.run());
         if let Some(peers) = self.peers {
-            parts.spawn(peers.receive(sender.clone()));
+            tasks.spawn(peers.receive(sender.clone()));
         }
         if let Some(console) = self.console {
             let log = self.fleet.as_ref().and_then(|(fleet, _)| fleet.log());
             let fleet = console::FleetApi { log, configuration: self.configuration };
-            parts.spawn(console::serve(console, sender.clone(), fleet));
+            tasks.spawn(console::serve(console, sender.clone(), fleet));
         }
-        let (leave, leaves) = watch::channel(false);
-        if let Some((fleet, seen)) = self.fleet {
-            parts.spawn(fleet.run(leaves));
-            parts.spawn(forward_snapshots(seen, sender.clone()));
+        let (leave_sender, leave) = watch::channel(false);
+        if let Some((fleet, snapshots)) = self.fleet {
+            tasks.spawn(fleet.run(leave));
+            tasks.spawn(forward_snapshots(snapshots, sender.clone()));
         }
         let stop = async move {
             stop.await;
-            leave.send_replace(true);
-            let _ = sender.send(input::Input::Terminate); // a driver that is gone has nothing to stop
+            leave_sender.send_replace(true);
+            let _ = sender.send(input::Input::Terminate); // a driver that has ended needs no message
             std::future::pending::<()>().await
         };
-        // The front decides when the node is done; the other parts go on serving it until then.
+        // The front decides when the node has finished. The other parts keep running for it until then.
         tokio::select! {
             () = Arc::new(self.front).serve(self.listener) => info!("stopped"),
             () = stop => {}
-            fault = first_panic(&mut parts) => std::panic::resume_unwind(fault.into_panic()),
+            panicked = first_panic(&mut tasks) => std::panic::resume_unwind(panicked.into_panic()),
         }
     }
 }
 
-/// Waits for a part that panics; one that ends by itself, as the fleet's does when it has left, is no fault.
-async fn first_panic(parts: &mut tokio::task::JoinSet<()>) -> tokio::task::JoinError {
+/// Waits for a task that panics. A task may end by itself, as that of the fleet does once the node has left the fleet.
+async fn first_panic(tasks: &mut tokio::task::JoinSet<()>) -> tokio::task::JoinError {
     loop {
-        match parts.join_next().await {
-            Some(Err(fault)) => return fault,
+        match tasks.join_next().await {
+            Some(Err(error)) => return error,
             Some(Ok(())) => {}
             None => std::future::pending().await,
         }
     }
 }
 
-/// Brings the driver what the fleet's part sees; what has been overtaken in the meantime is not told.
-async fn forward_snapshots(mut seen: watch::Receiver<Snapshot>, inputs: mpsc::UnboundedSender<input::Input>) {
-    // What stands there before the fleet's part has begun says nothing, not even which start this is.
-    while seen.changed().await.is_ok() {
-        let snapshot = Box::new(seen.borrow_and_update().clone());
+/// Forwards snapshots of the fleet to the driver. Only the latest one is forwarded if there are several.
+async fn forward_snapshots(
+    mut snapshots: watch::Receiver<Snapshot>, inputs: mpsc::UnboundedSender<input::Input>,
+) {
+    // The initial value is no snapshot: it was set before the fleet's task began, and lacks even the count of starts.
+    while snapshots.changed().await.is_ok() {
+        let snapshot = Box::new(snapshots.borrow_and_update().clone());
         if inputs.send(input::Input::Fleet(snapshot)).is_err() {
             return;
         }
     }
 }
 
-/// Two processes of one node share the address while one takes over from the other.
+/// Binds the clients' address, which two processes of one node share while one replaces the other.
 fn bind(at: SocketAddr) -> io::Result<TcpSocket> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -301,7 +311,7 @@
     Ok(socket)
 }
 
-/// The same for messages between nodes; each goes to one of the two.
+/// Binds a datagram address that two processes of one node share. The kernel delivers each datagram to one of them.
 fn bind_datagram(at: SocketAddr) -> io::Result<UdpSocket> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::DGRAM, None)?;
     socket.set_reuse_port(true)?;
@@ -314,20 +324,21 @@
 mod tests {
     use super::*;
 
-    /// Guards the count of starts: a console asked in a node's first moment has no view to show, least of all one with
-    /// start 0 (found by a trial on nine processes, as "n4 starts as 0 after 1d46ef711, with its disk").
+    /// Guards the count of starts. The console must not show the initial snapshot, which has start 0, before the fleet's
+    /// task has begun. A fault injection run with nine processes found this: "n4 starts as 0 after 1d46ef711, with its
+    /// disk".
     #[tokio::test]
-    async fn nothing_is_told_of_the_fleet_before_its_part_has_begun() {
-        let (tell, seen) = watch::channel(Snapshot::default());
-        let (inputs, mut told) = mpsc::unbounded_channel();
-        let passing = tokio::spawn(forward_snapshots(seen, inputs));
+    async fn no_snapshot_is_forwarded_before_the_fleet_task_has_begun() {
+        let (sender, snapshots) = watch::channel(Snapshot::default());
+        let (inputs, mut forwarded) = mpsc::unbounded_channel();
+        let task = tokio::spawn(forward_snapshots(snapshots, inputs));
         tokio::task::yield_now().await;
-        assert!(told.try_recv().is_err(), "something was told");
-        tell.send_replace(Snapshot { run: 7, ..Snapshot::default() });
-        match told.recv().await {
+        assert!(forwarded.try_recv().is_err(), "the initial snapshot was forwarded");
+        sender.send_replace(Snapshot { run: 7, ..Snapshot::default() });
+        match forwarded.recv().await {
             Some(input::Input::Fleet(snapshot)) => assert_eq!(snapshot.run, 7),
-            _ => panic!("nothing was told"),
+            _ => panic!("the snapshot was not forwarded"),
         }
-        passing.abort();
+        task.abort();
     }
 }
--- a/crates/node/tests/unit/configuration.rs
+++ b/crates/node/tests/unit/configuration.rs
@@ -1,3 +1,5 @@
+//! Tests of the versioned configuration.
+
 use super::*;
 use std::sync::Arc;
 
@@ -48,28 +50,32 @@
 }
 
 #[test]
-fn a_document_lays_over_what_the_node_was_started_with() {
-    let (baseline, started) = baseline();
+fn a_document_overrides_the_settings_that_it_names() {
+    let (baseline, initial) = baseline();
     let mut active = ActiveRevision::new(baseline);
     let prepared = active.prepare(id(1, 1), &document().encode()).unwrap();
     let change = prepared.change();
     assert_eq!(change.open_requests, 50);
-    assert_eq!((change.figures.max_attempts, change.figures.over_share_worth), (2, started.over_share_worth));
+    assert_eq!((change.figures.max_attempts, change.figures.over_share_worth), (2, initial.over_share_worth));
     let class = change.figures.classes[0];
     assert_eq!((class.aim, class.worth, class.late_worth), (250_000_000, 0.5, 0.1));
-    assert_eq!(change.figures.classes[1], started.figures().classes[1], "not named, so as at the start");
+    assert_eq!(
+        change.figures.classes[1],
+        initial.figures().classes[1],
+        "a class that the document does not name is as at the start"
+    );
     let quotas: Vec<f64> = change.figures.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
     assert_eq!(quotas, [7.0, 5.0]);
     active.commit(prepared);
     assert_eq!(active.id(), id(1, 1));
 
-    let emptied = active.prepare(id(1, 2), &Document::default().encode()).unwrap().change();
-    assert_eq!(*emptied.figures.classes, started.figures().classes);
-    assert_eq!((emptied.figures.max_attempts, emptied.open_requests), (3, 100));
+    let without_overrides = active.prepare(id(1, 2), &Document::default().encode()).unwrap().change();
+    assert_eq!(*without_overrides.figures.classes, initial.figures().classes);
+    assert_eq!((without_overrides.figures.max_attempts, without_overrides.open_requests), (3, 100));
 }
 
 #[test]
-fn a_share_is_of_what_the_fleet_takes_and_the_lesser_limit_holds() {
+fn a_quota_is_the_smaller_of_the_own_limit_and_the_share_of_the_fleet_limit() {
     let mut document = document();
     document.limits.insert("fleet_requests".to_owned(), limit(Unit::RequestsPer1000S, 1_000_000));
     document.tenants.insert("first".to_owned(), Tenant { share: 250_000_000, requests_per_1000_s: None });
@@ -82,39 +88,39 @@
     assert_eq!(quotas, [250.0, 9.0]);
 }
 
-/// Guards the order: a copy that is late, or an older one from a disk, changes nothing.
+/// Guards against a return to an earlier revision, which a late message or an old copy on a disk may bring.
 #[test]
-fn a_revision_that_is_not_later_is_never_taken() {
+fn a_revision_that_is_not_later_is_refused() {
     let mut active = ActiveRevision::new(baseline().0);
     active.commit(active.prepare(id(2, 5), &document().encode()).unwrap());
     for earlier in [id(2, 5), id(2, 4), id(1, 9)] {
-        let refusal = active.prepare(earlier, &Document::default().encode()).unwrap_err();
-        assert_eq!(refusal, RevisionError::NotLater { offered: earlier, in_force: id(2, 5) });
+        let error = active.prepare(earlier, &Document::default().encode()).unwrap_err();
+        assert_eq!(error, RevisionError::NotLater { offered: earlier, in_force: id(2, 5) });
     }
     assert!(active.prepare(id(3, 1), &Document::default().encode()).is_ok());
     active.accept_any_revision();
-    assert_eq!(*active.revision().document, document(), "it serves on");
+    assert_eq!(*active.revision().document, document(), "it stays in force");
     assert!(active.prepare(id(1, 9), &Document::default().encode()).is_ok());
 }
 
-/// Guards numbers: learned state stands under them, so a name never gets the number of another.
+/// Guards against mixed-up tenants: learned state is stored by number, so a number must never pass to another name.
 #[test]
-fn a_tenant_that_comes_back_has_its_number_again_and_no_other_gets_it() {
+fn a_tenant_that_is_added_again_has_its_old_number() {
     let mut active = ActiveRevision::new(baseline().0);
-    let mut seen = Vec::new();
+    let mut numbers = Vec::new();
     for (number, names) in [(1, &["b"][..]), (2, &["c"]), (3, &["a", "b"])] {
         let tenants = names.iter().map(|name| ((*name).to_owned(), tenant(1_000))).collect();
         let document = Document { tenants, ..Document::default() };
         let prepared = active.prepare(id(1, number), &document.encode()).unwrap();
         let in_force = prepared.change().in_force;
-        seen.push(["a", "b", "c"].map(|name| in_force.tenant_number(TenantRef::Named(name.into()))));
+        numbers.push(["a", "b", "c"].map(|name| in_force.tenant_number(TenantRef::Named(name.into()))));
         active.commit(prepared);
     }
-    assert_eq!(seen, [[None, Some(1), None], [None, None, Some(2)], [Some(3), Some(1), None]]);
+    assert_eq!(numbers, [[None, Some(1), None], [None, None, Some(2)], [Some(3), Some(1), None]]);
 }
 
 #[test]
-fn what_this_node_cannot_apply_is_refused_by_name_and_the_one_before_stays() {
+fn a_document_that_cannot_be_applied_is_refused_by_key_and_the_one_before_stays() {
     let mut active = ActiveRevision::new(baseline().0);
     active.commit(active.prepare(id(1, 1), &document().encode()).unwrap());
     let route = Route { service: "guides".to_owned(), class: "read".to_owned() };
@@ -170,23 +176,23 @@
             }),
         ),
     ];
-    for (says, alter) in cases {
+    for (expected, alter) in cases {
         let mut altered = document();
         alter(&mut altered);
-        let refusal = active.prepare(id(1, 2), &altered.encode()).unwrap_err();
-        assert!(refusal.to_string().starts_with(says), "{refusal}");
+        let error = active.prepare(id(1, 2), &altered.encode()).unwrap_err();
+        assert!(error.to_string().starts_with(expected), "{error}");
         assert_eq!((active.id(), &*active.revision().document), (id(1, 1), &document()));
     }
 }
 
 fn applier() -> (Arc<Applier>, mpsc::UnboundedReceiver<Input>) {
-    let (inputs, taken) = mpsc::unbounded_channel();
-    (Arc::new(Applier::new(baseline().0, deliver_changes(inputs))), taken)
+    let (sender, inputs) = mpsc::unbounded_channel();
+    (Arc::new(Applier::new(baseline().0, deliver_changes(sender))), inputs)
 }
 
-/// Guards "applied": silence of the driver must not be read as a yes.
+/// Guards against a revision that counts as applied before the driver has confirmed it.
 #[tokio::test]
-async fn a_revision_counts_as_in_force_when_the_driver_has_taken_it_and_no_sooner() {
+async fn a_revision_is_in_force_only_once_the_driver_has_confirmed_it() {
     let (applier, mut inputs) = applier();
     let applying = {
         let applier = applier.clone();
@@ -197,13 +203,13 @@
     assert_eq!(applier.status().revision, 0);
     taken.send(()).unwrap();
     applying.await.unwrap().unwrap();
-    let shown = applier.status();
-    assert_eq!((shown.revision, shown.epoch, shown.digest), (1, 1, document().digest()));
-    assert_eq!((shown.earliest_held, shown.refused), (Some(0), None));
+    let status = applier.status();
+    assert_eq!((status.revision, status.epoch, status.digest), (1, 1, document().digest()));
+    assert_eq!((status.earliest_held, status.refused), (Some(0), None));
 }
 
 #[tokio::test]
-async fn a_driver_that_is_gone_is_no_yes() {
+async fn a_revision_fails_if_the_driver_ends_before_it_confirms() {
     let (applier, mut inputs) = applier();
     let applying = {
         let applier = applier.clone();
@@ -215,36 +221,37 @@
 }
 
 #[test]
-fn a_refused_revision_is_shown_by_number_and_reason() {
+fn the_status_has_a_refused_revision_with_its_number_and_reason() {
     let (applier, _inputs) = applier();
     let mut document = document();
     document.limits.insert("speed".to_owned(), limit(Unit::Count, 1));
     assert!(matches!(applier.apply(id(1, 1), &document.encode()), Err(ApplyError::Refused(_))));
-    let shown = applier.status();
-    let refused = shown.refused.expect("it is named");
-    assert_eq!((shown.revision, refused.revision, refused.epoch), (0, 1, 1));
+    let status = applier.status();
+    let refused = status.refused.expect("the refused revision is in the status");
+    assert_eq!((status.revision, refused.revision, refused.epoch), (0, 1, 1));
     assert!(refused.fault.starts_with("limits.speed"), "{}", refused.fault);
     assert!(applier.apply(id(1, 2), &[0; 9]).is_err());
 }
 
 #[test]
-fn deltas_are_composed_in_order_from_nothing() {
+fn deltas_are_applied_in_order_to_the_empty_document() {
     let empty = Revision::default();
     let first = Delta::between(&empty, &document());
     let one = Revision::new(1, document());
-    let mut emptied = Delta::new(one.base());
-    emptied.tenants.remove.insert("second".to_owned());
-    let two = emptied.apply(&one).unwrap();
-    let deltas = [(1, first.encode()), (2, emptied.encode())];
-    let given = || deltas.iter().map(|(number, bytes)| (*number, &bytes[..]));
-    assert_eq!(Applier::compose(&[], 0, given()).unwrap(), two.encode());
-    let fault = Applier::compose(&[], 0, given().skip(1)).unwrap_err();
-    assert!(matches!(fault, ApplyError::Delta(_)), "{fault}");
+    let mut removal = Delta::new(one.base());
+    removal.tenants.remove.insert("second".to_owned());
+    let two = removal.apply(&one).unwrap();
+    let deltas = [(1, first.encode()), (2, removal.encode())];
+    let encoded = || deltas.iter().map(|(number, bytes)| (*number, &bytes[..]));
+    assert_eq!(Applier::compose(&[], 0, encoded()).unwrap(), two.encode());
+    let error = Applier::compose(&[], 0, encoded().skip(1)).unwrap_err();
+    assert!(matches!(error, ApplyError::Delta(_)), "{error}");
 }
 
-/// Guards a node from yesterday: what its disk held is not of this log, and what the log has must come into force.
+/// Guards against a node that keeps a revision of another log, such as that of an old disk: the revision in this log must
+/// come into force although it is an earlier one.
 #[test]
-fn a_lower_revision_follows_one_that_was_set_aside_and_nothing_else() {
+fn an_earlier_revision_may_follow_once_after_any_is_accepted() {
     let (applier, mut inputs) = applier();
     let apply = |id: RevisionId, document: Document, inputs: &mut mpsc::UnboundedReceiver<Input>| {
         let applying = {
@@ -262,7 +269,7 @@
     apply(id(2, 9), document(), &mut inputs).unwrap();
     assert!(matches!(apply(id(2, 3), Document::default(), &mut inputs), Err(ApplyError::Refused(_))));
     applier.accept_any_revision();
-    assert_eq!(applier.status().revision, 9, "it serves on");
+    assert_eq!(applier.status().revision, 9, "it stays in force");
     apply(id(2, 3), Document::default(), &mut inputs).unwrap();
     assert!(matches!(apply(id(2, 2), document(), &mut inputs), Err(ApplyError::Refused(_))));
 }
--- a/crates/node/tests/unit/console_configuration.rs
+++ b/crates/node/tests/unit/console_configuration.rs
@@ -1,3 +1,5 @@
+//! Tests of the console's API for the versioned configuration.
+
 use super::*;
 use std::sync::{Arc, Mutex};
 
@@ -10,18 +12,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 
-/// One that agrees to everything and has it applied here, unless it is told to say something else.
-struct Alone {
+/// A publisher of a single node: applies each revision at once, or fails with a given error.
+struct LocalPublisher {
     applier: Arc<Applier>,
     published: Mutex<Vec<Publication>>,
-    says: Mutex<Option<PublicationError>>,
+    error: Mutex<Option<PublicationError>>,
 }
 
-impl Publisher for Alone {
+impl Publisher for LocalPublisher {
     fn publish(&self, publication: Publication) -> PublishFuture<'_> {
         Box::pin(async move {
-            if let Some(no) = self.says.lock().unwrap().clone() {
-                return Err(no);
+            if let Some(error) = self.error.lock().unwrap().clone() {
+                return Err(error);
             }
             let number = publication.base.map_or(0, |base| base.number) + 1;
             let id = RevisionId { epoch: 1, number };
@@ -46,7 +48,7 @@
 
 struct Console {
     address: SocketAddr,
-    alone: Arc<Alone>,
+    publisher: Arc<LocalPublisher>,
 }
 
 impl Console {
@@ -58,16 +60,19 @@
         .unwrap();
         let mut names = Names::default();
         let settings = env.settings(&mut names).unwrap();
-        let (inputs, mut taken_in) = mpsc::unbounded_channel();
+        let (sender, mut inputs) = mpsc::unbounded_channel();
         let applier = Arc::new(Applier::new(
             Baseline::new(&settings, &names, 100),
-            crate::input::deliver_changes(inputs.clone()),
+            crate::input::deliver_changes(sender.clone()),
         ));
-        let alone = Alone { applier: applier.clone(), published: Mutex::default(), says: Mutex::default() };
-        let alone = Arc::new(alone);
-        // In place of the driver.
+        let publisher = Arc::new(LocalPublisher {
+            applier: applier.clone(),
+            published: Mutex::default(),
+            error: Mutex::default(),
+        });
+        // Confirms each change, as the driver does.
         tokio::spawn(async move {
-            while let Some(input) = taken_in.recv().await {
+            while let Some(input) = inputs.recv().await {
                 if let Input::Configuration { taken, .. } = input {
                     taken.send(()).unwrap();
                 }
@@ -75,32 +80,33 @@
         });
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
-        let configuration = Some(Arc::new(ConfigurationApi::new(applier, alone.clone())));
-        tokio::spawn(serve(listener, inputs, FleetApi { log: None, configuration }));
-        Console { address, alone }
+        let configuration = Some(Arc::new(ConfigurationApi::new(applier, publisher.clone())));
+        tokio::spawn(serve(listener, sender, FleetApi { log: None, configuration }));
+        Console { address, publisher }
     }
 
-    /// Status and body of the answer to one call.
+    /// Makes one call and returns the status and the body of the answer.
     async fn call(&self, method: &str, path: &str, body: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         let length = body.len();
-        let call = format!("{method} {path} HTTP/1.1\r\nHost: c\r\nContent-Length: {length}\r\n\r\n{body}");
-        stream.write_all(call.as_bytes()).await.unwrap();
+        let request =
+            format!("{method} {path} HTTP/1.1\r\nHost: c\r\nContent-Length: {length}\r\n\r\n{body}");
+        stream.write_all(request.as_bytes()).await.unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.unwrap();
         let (head, body) = answer.split_once("\r\n\r\n").unwrap();
         (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_owned())
     }
 
-    async fn standing(&self) -> Value {
+    async fn status(&self) -> Value {
         let (status, body) = self.call("GET", "/fleet/configuration", "").await;
         assert_eq!(status, 200, "{body}");
         from_str(&body).unwrap()
     }
 
-    /// Publishes a change of tenants on what is in force.
+    /// Publishes a change of tenants based on the revision in force.
     async fn publish(&self, tenants: Value) -> (u16, String) {
-        let here = &self.standing().await["here"];
+        let here = &self.status().await["here"];
         let base = json!({"revision": here["revision"], "digest": here["digest"]});
         let proposal = json!({"delta": {"base": base, "tenants": tenants}});
         self.call("POST", "/fleet/configuration", &proposal.to_string()).await
@@ -112,15 +118,15 @@
 }
 
 #[tokio::test]
-async fn a_change_is_published_and_shown_and_gone_back_from() {
+async fn a_change_is_published_shown_and_rolled_back() {
     let console = Console::start().await;
     let (status, body) = console.publish(tenant(5_000)).await;
     assert_eq!((status, from_str::<Value>(&body).unwrap()), (200, json!({"revision": 1, "epoch": 1})));
     assert_eq!(console.publish(tenant(7_000)).await.0, 200);
-    let standing = console.standing().await;
-    assert_eq!(standing["here"]["revision"], 2);
+    let status_json = console.status().await;
+    assert_eq!(status_json["here"]["revision"], 2);
     assert_eq!(
-        (&standing["fleet"]["behind"], &standing["fleet"]["behind_names"][0]),
+        (&status_json["fleet"]["behind"], &status_json["fleet"]["behind_names"][0]),
         (&json!(1), &json!("n2"))
     );
 
@@ -133,18 +139,18 @@
         (status, document.tenants["t"].clone()),
         (200, Tenant { share: 0, requests_per_1000_s: Some(5_000) })
     );
-    assert_eq!(console.standing().await["here"]["digest"], json!(document.digest()));
+    assert_eq!(console.status().await["here"]["digest"], json!(document.digest()));
 }
 
-/// Guards what nodes are sent: document and delta are canonical and lead to the same.
+/// Guards against nodes that differ: a published delta and document are canonical and lead to the same result.
 #[tokio::test]
-async fn what_is_published_is_the_delta_and_what_it_makes() {
+async fn a_publication_has_the_delta_and_the_document_that_it_makes() {
     let console = Console::start().await;
     console.publish(tenant(5_000)).await;
     console.publish(json!({"remove": ["t"]})).await;
-    let published = console.alone.published.lock().unwrap().clone();
+    let published = console.publisher.published.lock().unwrap().clone();
     let bases: Vec<Option<u64>> = published.iter().map(|one| one.base.map(|base| base.number)).collect();
-    assert_eq!(bases, [None, Some(1)], "a first revision has no base");
+    assert_eq!(bases, [None, Some(1)], "the first revision has no base");
     let deltas = || published.iter().zip(1..).map(|(one, number)| (number, &one.delta[..]));
     assert_eq!(Applier::compose(&[], 0, deltas().take(1)).unwrap(), published[0].document.to_vec());
     assert_eq!(Applier::compose(&[], 0, deltas()).unwrap(), published[1].document.to_vec());
@@ -152,7 +158,7 @@
 }
 
 #[tokio::test]
-async fn what_is_wrong_with_a_change_is_told_and_nothing_is_published() {
+async fn an_invalid_change_is_answered_with_its_error_and_not_published() {
     let console = Console::start().await;
     let digest = Document::default().digest();
     let delta = |revision: u64, change: &str| {
@@ -161,7 +167,7 @@
     let set =
         |section: &str, key: &str, value: &str| format!(r#""{section}": {{"set": {{"{key}": {value}}}}}"#);
     let class = r#"{"aim_ms": 1, "worth": 1, "late_worth": 0}"#;
-    for (body, status, says) in [
+    for (body, status, expected) in [
         (delta(1, &set("tenants", "t", "{\"share\": 0}")), 409, "base: 1, but revision 0 is in force"),
         (delta(0, &set("tenants", "t t", "{\"share\": 0}")), 400, "tenants.\"t t\": the name has a space"),
         (delta(0, &set("classes", "other", class)), 400, "classes.other: this node was started without it"),
@@ -171,7 +177,7 @@
     ] {
         let (answered, text) = console.call("POST", "/fleet/configuration", &body).await;
         assert_eq!(answered, status, "{body}: {text}");
-        assert!(text.contains(says), "{body}: {text}");
+        assert!(text.contains(expected), "{body}: {text}");
     }
     let (status, text) =
         console.call("POST", "/fleet/configuration/rollback", r#"{"from": 4, "to": 1}"#).await;
@@ -179,44 +185,44 @@
     let (status, text) =
         console.call("POST", "/fleet/configuration/rollback", r#"{"from": 0, "to": 7}"#).await;
     assert_eq!((status, text.contains("revision 7 is not held here")), (409, true), "{text}");
-    assert!(console.alone.published.lock().unwrap().is_empty());
+    assert!(console.publisher.published.lock().unwrap().is_empty());
 }
 
 #[tokio::test]
-async fn why_nothing_was_published_is_told() {
+async fn a_failed_publication_is_answered_with_its_error() {
     let console = Console::start().await;
-    for (no, status) in [
+    for (error, status) in [
         (PublicationError::Conflict("another was first".to_owned()), 409),
         (PublicationError::Refused("too long".to_owned()), 400),
         (PublicationError::Unconfirmed, 503),
         (PublicationError::Unavailable("busy".to_owned()), 503),
     ] {
-        *console.alone.says.lock().unwrap() = Some(no.clone());
+        *console.publisher.error.lock().unwrap() = Some(error.clone());
         let (answered, text) = console.publish(tenant(1)).await;
-        assert_eq!((answered, text), (status, format!("{no}\n")));
+        assert_eq!((answered, text), (status, format!("{error}\n")));
     }
-    assert_eq!(console.standing().await["here"]["revision"], 0);
+    assert_eq!(console.status().await["here"]["revision"], 0);
 }
 
-/// Guards the size that is planned for: all tenants in one change, read from an operator's JSON.
+/// Guards the planned size: one JSON change of all 30,000 tenants fits into the size limit.
 #[tokio::test]
-async fn a_change_of_all_tenants_fits() {
+async fn a_change_of_all_tenants_is_published() {
     let console = Console::start().await;
     let tenants: serde_json::Map<String, Value> = (0..30_000)
         .map(|n| (format!("tenant-{n:05}"), json!({"share": 0, "requests_per_1000_s": 1 + n})))
         .collect();
     let (status, text) = console.publish(json!({"set": tenants})).await;
     assert_eq!(status, 200, "{text}");
-    assert_eq!(console.alone.applier.document().tenants.len(), 30_000);
+    assert_eq!(console.publisher.applier.document().tenants.len(), 30_000);
 }
 
 #[tokio::test]
-async fn a_node_without_it_says_so() {
-    let (inputs, _taken_in) = mpsc::unbounded_channel();
+async fn a_node_without_versioned_configuration_answers_not_found() {
+    let (sender, _inputs) = mpsc::unbounded_channel();
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
-    tokio::spawn(serve(listener, inputs, FleetApi::default()));
-    let alone = Console::start().await.alone;
-    let (status, text) = Console { address, alone }.call("GET", "/fleet/configuration", "").await;
+    tokio::spawn(serve(listener, sender, FleetApi::default()));
+    let publisher = Console::start().await.publisher;
+    let (status, text) = Console { address, publisher }.call("GET", "/fleet/configuration", "").await;
     assert_eq!((status, text.contains("[fleet.configuration]")), (404, true), "{text}");
 }
