--- a/crates/decide/tests/failures.rs
+++ b/crates/decide/tests/failures.rs
@@ -213,8 +213,7 @@
 #[test]
 fn a_node_learns_from_its_peers_which_servers_are_slow() {
     // Issue 6: at 7 requests a second over 114 servers a node uses each server only every 16 s.
-    let node_settings =
-        |me| Settings {
+    let node_settings = |me| Settings {
         node_index: me,
         node_count: 300,
         may_message_peers: true,
@@ -493,8 +492,7 @@
 fn an_overloaded_node_refuses_tenants_within_their_quota_less_than_one_beyond_it() {
     // Incident if84a4d: only 78% of the requests of a tenant within its quota were served, although servers were idle.
     let tenants = vec![Tenant { quota_per_s: 20.0 }; 4];
-    let node_settings =
-        Settings {
+    let node_settings = Settings {
         tenants,
         over_quota_value_share: 0.05,
         node_count: 4,
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -329,7 +329,8 @@
 
 #[test]
 fn the_node_asks_for_the_list_again_after_failures_until_it_is_subscribed() {
-    let node_settings = Settings { discovery: Discovery::Watch, ..settings(vec![class(Idempotency::Idempotent)]) };
+    let node_settings =
+        Settings { discovery: Discovery::Watch, ..settings(vec![class(Idempotency::Idempotent)]) };
     let mut node = TestNode::new(node_settings, 3, 8);
     let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
     for _ in 0..6 {
@@ -449,8 +450,7 @@
 #[test]
 fn a_placed_class_without_available_servers_is_refused_before_its_deadline() {
     for kinds in [vec![1], vec![7], vec![]] {
-        let node_settings =
-            settings(vec![
+        let node_settings = settings(vec![
             placed_class(Idempotency::Idempotent, None, Some(kinds)),
             class(Idempotency::Idempotent),
         ]);
@@ -480,7 +480,8 @@
 fn further_attempts_after_any_failure_stay_within_the_configured_budget() {
     for status in [Status::Error, Status::ConnectFailed, Status::Reset] {
         let budget = RetryBudget { base: 2.0, per_request: 0.25, window: 5 * S };
-        let node_settings = Settings { retry_budget: Some(budget), ..settings(vec![class(Idempotency::Idempotent)]) };
+        let node_settings =
+            Settings { retry_budget: Some(budget), ..settings(vec![class(Idempotency::Idempotent)]) };
         let mut node = TestNode::new(node_settings, 12, 4);
         let (mut arrivals, mut repeats): (Vec<Nanos>, Vec<Nanos>) = (vec![], vec![]);
         for turn in 0..600u64 {
@@ -499,7 +500,8 @@
 #[test]
 fn the_budget_window_is_exact_to_the_nanosecond_and_empty_after_a_restart() {
     let budget = RetryBudget { base: 1.0, per_request: 0.0, window: 5 * S };
-    let node_settings = Settings { retry_budget: Some(budget), ..settings(vec![class(Idempotency::Idempotent)]) };
+    let node_settings =
+        Settings { retry_budget: Some(budget), ..settings(vec![class(Idempotency::Idempotent)]) };
     let start = || TestNode::new(node_settings.clone(), 9, 4);
     let mut node = start();
     assert_eq!(further_attempts(&mut node, Status::ConnectFailed), 1);
@@ -616,7 +618,9 @@
                     let ran = request.attempts.iter().find(|(.., s)| !s.is_some_and(Status::never_ran));
                     match (class.idempotency, ran) {
                         (Idempotency::Idempotent, _) | (_, None) => {}
-                        (Idempotency::NonIdempotent, Some(_)) => panic!("an unsafe request may have run twice"),
+                        (Idempotency::NonIdempotent, Some(_)) => {
+                            panic!("an unsafe request may have run twice")
+                        }
                         (Idempotency::Keyed { scope: group, window }, Some(&(first, at, _))) => {
                             assert!(now < at + window);
                             assert!(group == DedupScope::All || server % 3 == first % 3);
