--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -55,7 +55,7 @@
             client_timeout: budget,
             cost_hint,
             is_retry: repeat,
-            streams_body: long: is_streamed,
+            streams_body: is_streamed,
         }));
         self.remove_if_finished(id);
     }
