--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -31,9 +31,9 @@
 }
 
 impl Allocation {
-    /// Computes the allocation of a process from the limits on descriptors and bytes of memory. `beside` halves it for
-    /// a process that runs beside another process of the node.
-    pub fn new(sockets: usize, memory: usize, beside: bool) -> Self {
+    /// Computes the allocation of a process from the limits on descriptors and bytes of memory. `has_companion`
+    /// halves it for a process that runs beside another process of the node.
+    pub fn new(sockets: usize, memory: usize, has_companion: bool) -> Self {
         let clients = sockets / CLIENT_DESCRIPTORS_DIVISOR;
         let left = sockets.saturating_sub(clients + RESERVED_DESCRIPTORS);
         let servers = left
@@ -44,7 +44,7 @@
             servers: servers.max(MIN_SERVER_CONNECTIONS),
             bodies: (memory / BODY_MEMORY_DIVISOR / BODY_UNIT_BYTES).min(Semaphore::MAX_PERMITS),
         };
-        if !beside {
+        if !has_companion {
             return full;
         }
         let Allocation { clients, servers, bodies } = full;
@@ -158,8 +158,8 @@
 
 impl Capacity {
     /// Creates the limits from the numbers of descriptors and bytes of memory, see [`Allocation::new`].
-    pub fn new(sockets: usize, memory: usize, beside: bool) -> Self {
-        let Allocation { clients, servers, bodies } = Allocation::new(sockets, memory, beside);
+    pub fn new(sockets: usize, memory: usize, has_companion: bool) -> Self {
+        let Allocation { clients, servers, bodies } = Allocation::new(sockets, memory, has_companion);
         Capacity {
             clients: Slots::new(clients),
             servers: Slots::new(servers),
@@ -170,8 +170,8 @@
     }
 
     /// Halves the limits while another process runs beside this one, or restores them.
-    pub fn resize(&self, beside: bool) {
-        self.set(Allocation::new(self.sockets, self.memory, beside));
+    pub fn resize(&self, has_companion: bool) {
+        self.set(Allocation::new(self.sockets, self.memory, has_companion));
     }
 
     /// Takes what the first process does not use, up to a half. Returns whether this process now has its half.
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -21,7 +21,7 @@
         let deadline = client_deadline.saturating_sub(RESPONSE_MARGIN).max(now);
         debug!(
             request = id.0,
-            txn = upstream_request.txn(),
+            txn = upstream_request.transaction_id(),
             class,
             left_ms = (deadline - now) / MILLISECOND,
             "request received"
@@ -93,8 +93,8 @@
         if let Some(pending_connection) = outcome.pending_connection {
             let inputs = self.inputs.clone();
             self.pool.await_pending(pending_connection, move |connection| {
+                // If the driver has stopped, dropping the message closes the connection.
                 let _ = inputs.send(Input::LateConnection { server, connection });
-                // dropping it closes the connection if the driver has stopped
             });
         }
         let latency = self.clock.now() - outcome.sent_at.unwrap_or(sent).max(sent);
--- a/crates/node/src/front/active_request.rs
+++ b/crates/node/src/front/active_request.rs
@@ -11,7 +11,7 @@
     pub(super) timeouts: Arc<ConnectionTimeouts>,
     /// When the connection was accepted.
     pub(super) accepted_at: Instant,
-    /// Set where a disconnect has to be detected on the socket itself.
+    /// The socket on which a disconnect is detected while hyper does not read; `None` if the stream is not a socket.
     pub(super) client_socket: Option<Arc<TcpStream>>,
 }
 
--- a/crates/node/src/front/response.rs
+++ b/crates/node/src/front/response.rs
@@ -40,7 +40,9 @@
 
 /// The content of a response body.
 pub(super) enum ClientBody {
+    /// In memory; `_buffer` keeps its reservation.
     Buffered { body: Full<Bytes>, _buffer: BufferedBody },
+    /// Streamed from a server.
     Streamed(Box<Relay>),
 }
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -21,13 +21,13 @@
     ClientLeft,
 }
 
-const ENDS: usize = 4;
+const REQUEST_END_COUNT: usize = 4;
 
 #[derive(Clone, Debug, Default)]
 struct ClassCounts {
     name: String,
     received: u64,
-    ended: [u64; ENDS],
+    ended: [u64; REQUEST_END_COUNT],
 }
 
 /// Sums over all classes since the process started.
@@ -36,7 +36,7 @@
     /// Requests received.
     pub received: u64,
     /// Requests that ended, indexed by [`RequestEnd`].
-    pub ended: [u64; ENDS],
+    pub ended: [u64; REQUEST_END_COUNT],
 }
 
 impl Totals {
--- a/crates/node/src/upstream/relay.rs
+++ b/crates/node/src/upstream/relay.rs
@@ -33,17 +33,10 @@
 impl Relay {
     /// Creates the body from the prefix that was read, the rest, and the connection that it arrives on.
     pub fn new(prefix: BodyPrefix, rest: Incoming, connection: Connection) -> Self {
-        let left = rest.size_hint().exact().map(|rest| rest + prefix.bytes.len() as u64);
+        let bytes_left = rest.size_hint().exact().map(|rest| rest + prefix.bytes.len() as u64);
         let BodyPrefix { bytes: buffered, reservation, .. } = prefix;
         let buffered = VecDeque::from_iter(Some(buffered).filter(|buffered| !buffered.is_empty()));
-        Relay {
-            buffered,
-            reservation,
-            rest,
-            bytes_left: left,
-            connection: Some(connection),
-            end_callback: None,
-        }
+        Relay { buffered, reservation, rest, bytes_left, connection: Some(connection), end_callback: None }
     }
 
     /// Calls `callback` once, when the response has ended.
@@ -84,7 +77,7 @@
                 }
             }
         };
-        self.bytes_left = self.bytes_left.map(|left| left.saturating_sub(data.len() as u64));
+        self.bytes_left = self.bytes_left.map(|bytes_left| bytes_left.saturating_sub(data.len() as u64));
         if self.is_end_stream() {
             self.end(RequestEnd::Completed);
         }
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the transaction id that the client gave, for the log.
-    pub fn txn(&self) -> &str {
+    pub fn transaction_id(&self) -> &str {
         self.headers.get("x-txn").and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 
--- a/crates/node/tests/fuzz.rs
+++ b/crates/node/tests/fuzz.rs
@@ -4,7 +4,8 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-fn valid() -> Value {
+/// Returns a valid platform configuration.
+fn valid_configuration() -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -18,19 +19,23 @@
 }
 
 /// Collects the JSON pointers of all values.
-fn paths(value: &Value, at: String, pointers: &mut Vec<String>) {
+fn collect_pointers(value: &Value, at: String, pointers: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(name, value)| paths(value, format!("{at}/{name}"), pointers));
+            fields.iter().for_each(|(name, value)| collect_pointers(value, format!("{at}/{name}"), pointers));
         }
         Value::Array(values) => {
-            values.iter().enumerate().for_each(|(n, value)| paths(value, format!("{at}/{n}"), pointers));
+            values
+                .iter()
+                .enumerate()
+                .for_each(|(n, value)| collect_pointers(value, format!("{at}/{n}"), pointers));
         }
         _ => {}
     }
     pointers.push(at);
 }
 
+/// Generates JSON values of unexpected types and ranges.
 fn unexpected_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -53,12 +58,12 @@
     fn validation_of_arbitrary_values_returns_a_result(
         edits in prop::collection::vec((any::<usize>(), unexpected_value()), 0..4)
     ) {
-        let mut config = valid();
+        let mut config = valid_configuration();
         let is_unchanged = edits.is_empty();
-        for (place, value) in edits {
+        for (index, value) in edits {
             let mut pointers = Vec::new();
-            paths(&config, String::new(), &mut pointers);
-            if let Some(target) = config.pointer_mut(&pointers[place % pointers.len()]) {
+            collect_pointers(&config, String::new(), &mut pointers);
+            if let Some(target) = config.pointer_mut(&pointers[index % pointers.len()]) {
                 *target = value;
             }
         }
@@ -72,7 +77,7 @@
     fn validation_of_arbitrary_text_returns_a_result_with_a_valid_line(
         cut in any::<usize>(), byte in any::<u8>(), at in any::<usize>()
     ) {
-        let mut text = serde_json::to_vec_pretty(&valid()).unwrap();
+        let mut text = serde_json::to_vec_pretty(&valid_configuration()).unwrap();
         let length = text.len();
         text[at % length] = byte;
         text.truncate(cut % (length + 1));
@@ -88,7 +93,7 @@
 #[test]
 fn a_memory_limit_may_be_fractional_or_absent() {
     for memory in [json!(48), json!(48.0), json!(0.5), Value::Null] {
-        let mut config = valid();
+        let mut config = valid_configuration();
         config["limits"]["memory_mb"] = memory.clone();
         assert_eq!(Config::validate(&config.to_string()), Ok(()), "{memory}");
     }
--- a/crates/node/tests/unit/capacity.rs
+++ b/crates/node/tests/unit/capacity.rs
@@ -24,7 +24,8 @@
         let capacity = Capacity::new(sockets, memory, true);
         let has_half = capacity.fit_beside(first);
         let second = capacity.allocation();
-        // Until then the second process has only the few server connections that are always allowed.
+        // Until the first process has released enough, the second has only the few server connections for which its
+        // startup descriptors leave room.
         prop_assert!(first.clients + second.clients <= full.clients && first.bodies + second.bodies <= full.bodies);
         let has_minimum = second.servers <= MIN_SERVER_CONNECTIONS;
         prop_assert!(
--- a/crates/node/tests/unit/connection_timeouts.rs
+++ b/crates/node/tests/unit/connection_timeouts.rs
@@ -11,14 +11,14 @@
     assert_eq!(
         timeouts.deadline(),
         (HEAD_TIMEOUT, CloseReason::NoRequest),
-        "within 3 s of connecting, whatever comes"
+        "within 3 s of the accept, whatever is received"
     );
     timeouts.request_started();
     timeouts.request_read();
     timeouts.response_ended(300 * MS);
     assert_eq!(timeouts.deadline(), (300 * MS + IDLE_TIMEOUT, CloseReason::NoRequest));
     timeouts.bytes_received(2_300 * MS);
-    assert!(timeouts.deadline().0 >= 4_300 * MS, "2 s from its first byte");
+    assert!(timeouts.deadline().0 >= 4_300 * MS, "2 s from the first byte of the head");
     timeouts.request_started();
     assert_eq!(timeouts.deadline(), (2_300 * MS + MIN_STALL_TIMEOUT, CloseReason::Stalled));
 }
@@ -63,8 +63,11 @@
                 _ => {}
             }
             let (at, _) = timeouts.deadline();
-            let first = !timeouts.had_request.load(Ordering::Relaxed);
-            prop_assert!(first || at >= before || at >= now + timeouts.poll_interval(), "{at} at {now} after {event}");
+            let before_first_request = !timeouts.had_request.load(Ordering::Relaxed);
+            prop_assert!(
+                before_first_request || at >= before || at >= now + timeouts.poll_interval(),
+                "{at} at {now} after {event}"
+            );
         }
     }
 }
--- a/crates/node/tests/unit/reconfigured.rs
+++ b/crates/node/tests/unit/reconfigured.rs
@@ -38,6 +38,7 @@
     document
 }
 
+/// Makes the document with this number the active revision, and returns the input for the driver.
 fn configuration(active: &mut ActiveRevision, number: u64) -> Input {
     let id = RevisionId { epoch: 1, number };
     let prepared = active.prepare(id, &document(number).encode()).unwrap();
@@ -46,6 +47,7 @@
     Input::Configuration { change, applied: oneshot::channel().0 }
 }
 
+/// Returns the input for a request of a tenant, and the receiver of its reply.
 fn request(driver: &Driver, id: u64, tenant: &str) -> (Input, oneshot::Receiver<Reply>) {
     let body = RequestBody::Buffered(BufferedBody::small(Bytes::new()));
     let upstream_request = UpstreamRequest::new(Method::GET, Uri::from_static("/"), HeaderMap::new(), body);
--- a/crates/node/tests/unit/upstream.rs
+++ b/crates/node/tests/unit/upstream.rs
@@ -58,14 +58,14 @@
         }
         let outcome = running.await.unwrap();
         assert_eq!(outcome.status, if client_leaves { Status::Moot } else { Status::ConnectFailed });
-        let (sender, mut told) = tokio::sync::mpsc::unbounded_channel();
+        let (sender, mut connections) = tokio::sync::mpsc::unbounded_channel();
         pool.await_pending(
             outcome.pending_connection.expect("the attempt has a pending connection"),
             move |connection| drop(sender.send(connection)),
         );
         listener.accept().await.unwrap(); // accepts the filler, which frees the backlog
         let accepted = listener.accept();
-        let connection = told.recv().await.expect("the connection was not established");
+        let connection = connections.recv().await.expect("the connection was not established");
         let (mut stream, _) = accepted.await.unwrap();
         assert_eq!(slots.in_use(), 1);
         pool.put(ServerId(0), connection);
@@ -109,17 +109,18 @@
 fn a_delayed_node_writes_nothing_after_the_grace_period() {
     const DELAY: Nanos = 150_000_000;
     for grace in [0, 100_000_000, 250_000_000, 500_000_000, 2_000_000_000] {
-        for told in [0, 7_000_000_000] {
+        for notified_at in [0, 7_000_000_000] {
             let server = Server::new("127.0.0.1:1".parse().unwrap());
-            let processed = told + DELAY;
+            let processed = notified_at + DELAY;
             server.set_ready(false, processed, grace);
             let clock_readings = (processed..processed + grace + 1).step_by(1_000_000);
-            let last_reading = clock_readings.filter(|&at| server.accepts_sends(at)).max().unwrap_or(told);
+            let last_reading =
+                clock_readings.filter(|&at| server.accepts_sends(at)).max().unwrap_or(notified_at);
             let written = last_reading + DELAY;
             assert!(
-                written <= told + grace.max(DELAY),
+                written <= notified_at + grace.max(DELAY),
                 "{grace} ns of grace: written after {} ns",
-                written - told
+                written - notified_at
             );
         }
     }
