--- a/crates/node/src/configuration/active.rs
+++ b/crates/node/src/configuration/active.rs
@@ -120,8 +120,8 @@
         Ok(PreparedRevision { id, revision, change })
     }
 
-    /// Lets any revision follow the one in force, which came from a disk and is not in this fleet's log. It stays in force
-    /// until then.
+    /// Lets any revision follow the one in force, which came from a disk and is not in this fleet's log. It stays in
+    /// force until then.
     pub fn accept_any_revision(&mut self) {
         self.id = RevisionId::default();
     }
--- a/crates/node/src/configuration/applier.rs
+++ b/crates/node/src/configuration/applier.rs
@@ -32,7 +32,7 @@
     Unsupported(#[from] UnsupportedError),
     /// The revision to roll back to is not stored here.
     #[error(transparent)]
-    NotHeld(#[from] NotHeld),
+    NotStored(#[from] NotHeld),
     /// The process is ending.
     #[error("the node is stopping; use another one")]
     Ended,
@@ -68,8 +68,8 @@
     pub at: u64,
 }
 
-/// The data of [`LocalStatus`]. Its own lock is only held for moments, so a status query never waits for a revision that
-/// is being applied.
+/// The data of [`LocalStatus`]. Its own lock is only held for moments, so a status query never waits for a revision
+/// that is being applied.
 struct Summary {
     id: RevisionId,
     digest: Digest,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Applies encoded deltas to an encoded document in order, without putting the result in force. No bytes stand for the
-    /// empty document.
+    /// Applies encoded deltas to an encoded document in order, without putting the result in force. No bytes stand for
+    /// the empty document.
     pub fn compose<'a>(
         document: &[u8], base: u64, deltas: impl IntoIterator<Item = (u64, &'a [u8])>,
     ) -> Result<Vec<u8>, ApplyError> {
@@ -166,14 +166,14 @@
         self.lock_summary().refused = Some(RefusedRevision { revision, epoch, fault, at });
     }
 
-    /// Lets any revision follow the one in force, which is not in this fleet's log and stays in force until then. Does not
-    /// block.
+    /// Lets any revision follow the one in force, which is not in this fleet's log and stays in force until then. Does
+    /// not block.
     pub fn accept_any_revision(&self) {
         self.accept_any.store(true, Ordering::Relaxed);
     }
 
-    /// Checks a delta as far as possible before it is published. Returns the revision in force and the document that the
-    /// delta makes of it.
+    /// Checks a delta as far as possible before it is published. Returns the revision in force and the document that
+    /// the delta makes of it.
     pub fn check(&self, delta: &Delta) -> Result<(RevisionId, Document), ApplyError> {
         let active = self.read_active();
         let document = delta.apply(active.revision())?;
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -1,9 +1,9 @@
 //! The versioned configuration of this node: which revision is in force, and how the next one comes into force.
 //!
-//! [`Baseline`] has the settings that the node was started with. A document overrides some of them; those that it does not
-//! name stay as at the start. [`ActiveRevision`] accepts whole documents in order and does no I/O. [`Applier`] runs it on
-//! threads that may block, and sends the driver one [`ConfigurationChange`] at a time, which the driver applies between
-//! two requests.
+//! [`Baseline`] has the settings that the node was started with. A document overrides some of them; those that it does
+//! not name stay as at the start. [`ActiveRevision`] accepts whole documents in order and does no I/O. [`Applier`] runs
+//! it on threads that may block, and sends the driver one [`ConfigurationChange`] at a time, which the driver applies
+//! between two requests.
 
 mod active;
 mod applier;
--- a/crates/node/src/configuration/publisher.rs
+++ b/crates/node/src/configuration/publisher.rs
@@ -46,8 +46,8 @@
 pub struct FleetProgress {
     /// The latest agreed revision that this node knows of.
     pub latest: Option<String>,
-    /// Milliseconds since this node last knew that its copy of the replicated log was current. There is none if it never
-    /// was since the start.
+    /// Milliseconds since this node last knew that its copy of the replicated log was current. There is none if it
+    /// never was since the start.
     pub log_silent_ms: Option<u64>,
     /// Whether the revision in force could not be saved to disk.
     pub unsaved: bool,
--- a/crates/node/src/configuration/unsupported.rs
+++ b/crates/node/src/configuration/unsupported.rs
@@ -1,4 +1,5 @@
-//! Errors of documents that are valid but cannot be in force at this node. Each names the key, the problem and the remedy.
+//! Errors of documents that are valid but cannot be in force at this node. Each names the key, the problem and the
+//! remedy.
 
 use merlinfold_revision::Unit;
 use thiserror::Error;
--- a/crates/node/src/console/configuration.rs
+++ b/crates/node/src/console/configuration.rs
@@ -186,7 +186,7 @@
 fn apply_error(error: ApplyError) -> ErrorResponse {
     let status = match &error {
         ApplyError::Delta(Fault::Conflict { .. } | Fault::OtherContent { .. }) => StatusCode::CONFLICT,
-        ApplyError::NotHeld(_) => StatusCode::CONFLICT,
+        ApplyError::NotStored(_) => StatusCode::CONFLICT,
         ApplyError::Ended => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::BAD_REQUEST,
     };
--- a/crates/node/src/console/mod.rs
+++ b/crates/node/src/console/mod.rs
@@ -1,4 +1,5 @@
-//! The console: the HTTP listener for operators. It takes one call per connection, which the driver or the fleet answers.
+//! The console: the HTTP listener for operators. It takes one call per connection, which the driver or the fleet
+//! answers.
 
 mod configuration;
 mod log;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -86,8 +86,8 @@
         config.check(&mut Names::default()).map(drop).map_err(|error| format!(" {error}"))
     }
 
-    /// Checks whether a node could start from it, without opening its sockets. Returns the limits of the host, the settings
-    /// and the random seed.
+    /// Checks whether a node could start from it, without opening its sockets. Returns the limits of the host, the
+    /// settings and the random seed.
     fn check(&self, names: &mut Names) -> Result<(HostLimits, Settings, u64), String> {
         let in_settings = |error| format!("settings: {error}");
         let host = self.settings.host_limits().map_err(in_settings)?;
@@ -106,8 +106,8 @@
     }
 }
 
-/// Passes a changed configuration to a running node. Only the address of discovery takes effect; everything else is read
-/// at the start.
+/// Passes a changed configuration to a running node. Only the address of discovery takes effect; everything else is
+/// read at the start.
 pub struct Reloader(watch::Sender<SocketAddr>);
 
 impl Reloader {
@@ -220,8 +220,8 @@
         self.enable_configuration(applier, Arc::new(FleetPublisher(handle)));
     }
 
-    /// Lets revisions of a versioned configuration come into force while the node runs. They arrive through `applier`, and
-    /// operators publish through `publisher`.
+    /// Lets revisions of a versioned configuration come into force while the node runs. They arrive through `applier`,
+    /// and operators publish through `publisher`.
     fn enable_configuration(&mut self, applier: Arc<Applier>, publisher: Arc<dyn Publisher>) {
         self.front.expect_tenants();
         self.configuration = Some(Arc::new(ConfigurationApi::new(applier, publisher)));
@@ -324,9 +324,9 @@
 mod tests {
     use super::*;
 
-    /// Guards the count of starts. The console must not show the initial snapshot, which has start 0, before the fleet's
-    /// task has begun. A fault injection run with nine processes found this: "n4 starts as 0 after 1d46ef711, with its
-    /// disk".
+    /// Guards the count of starts. The console must not show the initial snapshot, which has start 0, before the
+    /// fleet's task has begun. A fault injection run with nine processes found this: "n4 starts as 0 after 1d46ef711,
+    /// with its disk".
     #[tokio::test]
     async fn no_snapshot_is_forwarded_before_the_fleet_task_has_begun() {
         let (sender, snapshots) = watch::channel(Snapshot::default());
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,4 +1,5 @@
-//! State machine of the node's lifecycle: from commands and time it derives the [`ServingState`] that the front follows.
+//! State machine of the node's lifecycle: from commands and time it derives the [`ServingState`] that the front
+//! follows.
 
 use merlinfold_decide::interface::Nanos;
 
@@ -7,13 +8,13 @@
 /// How long a predecessor may take to free capacity. Its requests end within less, and the platform waits 6 s for a
 /// successor.
 const MAX_PREDECESSOR_WAIT: Nanos = 1_000_000_000;
-/// How long to wait for an agent to push the first list. What the agent has counts as announced from the first moment of
-/// a process. An agent that is down announces nothing, and readiness does not wait for it.
+/// How long to wait for an agent to push the first list. What the agent has counts as announced from the first moment
+/// of a process. An agent that is down announces nothing, and readiness does not wait for it.
 const MAX_FIRST_LIST_WAIT: Nanos = 1_000_000_000;
 /// Time after the longest deadline from a stop by which all answers have been sent.
 const EXIT_MARGIN: Nanos = 500_000_000;
-/// The longest request deadline that the platform waits for before it kills the process. Requests that come after a stop
-/// get no longer deadline, because a kill loses those that are unanswered.
+/// The longest request deadline that the platform waits for before it kills the process. Requests that come after a
+/// stop get no longer deadline, because a kill loses those that are unanswered.
 const MAX_DEADLINE_AFTER_STOP: Nanos = 3_000_000_000;
 /// Time that the last answer needs to reach its client before the process ends.
 const LAST_ANSWER_TRANSIT: Nanos = 20_000_000;
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -20,14 +20,14 @@
 }
 
 impl Peers {
-    /// `addresses` are those of all nodes by number, `me` is the number of this node, and `all` an address that reaches all
-    /// other nodes, if there is one.
+    /// `addresses` are those of all nodes by number, `me` is the number of this node, and `all` an address that reaches
+    /// all other nodes, if there is one.
     pub fn new(socket: UdpSocket, addresses: Vec<SocketAddr>, all: Option<SocketAddr>, me: u32) -> Self {
         Peers { socket: Arc::new(socket), addresses: addresses.into(), all, me }
     }
 
-    /// Sends a message to one node, or to all others. It is dropped if the socket's buffer is full, as the network may drop
-    /// it too.
+    /// Sends a message to one node, or to all others. It is dropped if the socket's buffer is full, as the network may
+    /// drop it too.
     pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
         let send_to = |at: SocketAddr| {
             if let Err(error) = self.socket.try_send_to(bytes, at) {
@@ -79,8 +79,8 @@
         (socket, at)
     }
 
-    /// Guards against messages from addresses that are no peer's. Datagrams keep their order on loopback, so the two before
-    /// the last one were dropped.
+    /// Guards against messages from addresses that are no peer's. Datagrams keep their order on loopback, so the two
+    /// before the last one were dropped.
     #[tokio::test]
     async fn messages_of_strangers_and_oversized_messages_are_dropped() {
         let ((own, own_at), (peer, peer_at)) = (socket().await, socket().await);
@@ -91,7 +91,9 @@
         peer.send_to(&[7; MESSAGE_MOST], own_at).await.unwrap();
         let (sender, mut inputs) = mpsc::unbounded_channel();
         let task = tokio::spawn(peers.clone().receive(sender));
-        let Some(Input::Peer { from, bytes }) = inputs.recv().await else { panic!("a message") };
+        let Some(Input::Peer { from, bytes }) = inputs.recv().await else {
+            panic!("no message was received")
+        };
         assert_eq!((from, bytes), (1, vec![7; MESSAGE_MOST]));
         task.abort();
     }
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -1,5 +1,6 @@
-//! Start times of servers on this node's clock. Discovery announces them as Unix time. This machine's wall clock may have
-//! been stepped before the node started, so start times that are impossible by it are bounded by what the node has seen.
+//! Start times of servers on this node's clock. Discovery announces them as Unix time. This machine's wall clock may
+//! have been stepped before the node started, so start times that are impossible by it are bounded by what the node has
+//! seen.
 
 use merlinfold_decide::interface::Nanos;
 
--- a/crates/node/tests/unit/configuration.rs
+++ b/crates/node/tests/unit/configuration.rs
@@ -248,8 +248,8 @@
     assert!(matches!(error, ApplyError::Delta(_)), "{error}");
 }
 
-/// Guards against a node that keeps a revision of another log, such as that of an old disk: the revision in this log must
-/// come into force although it is an earlier one.
+/// Guards against a node that keeps a revision of another log, such as that of an old disk: the revision in this log
+/// must come into force although it is an earlier one.
 #[test]
 fn an_earlier_revision_may_follow_once_after_any_is_accepted() {
     let (applier, mut inputs) = applier();
--- a/crates/node/tests/unit/discovery_fleet.rs
+++ b/crates/node/tests/unit/discovery_fleet.rs
@@ -1,5 +1,5 @@
-//! Simulation of a whole fleet that polls one discovery, which answers calls in turn and refuses those that it could not
-//! answer in time.
+//! Simulation of a whole fleet that polls one discovery, which answers calls in turn and refuses those that it could
+//! not answer in time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -39,8 +39,8 @@
         self.changes.iter().filter(|&&change| change <= at).count() as u64
     }
 
-    /// When a watch for changes since `known` that waits from `from` to `until` is answered: at the next change, or when its
-    /// wait ends.
+    /// When a watch for changes since `known` that waits from `from` to `until` is answered: at the next change, or
+    /// when its wait ends.
     fn watch(&self, known: u64, from: Millis, until: Millis) -> Millis {
         if self.version(from) > known {
             return from;
@@ -191,20 +191,20 @@
 const MAX_BACKOFF: Millis = 2_050; // with the time it takes to make the call after it
 const MAX_FIRST_CALL: Millis = 1_300; // latest time of a node's first call after its start
 
-/// The number of nodes, and the time per call at a service that can answer at least a fifth of the nodes before calls time
-/// out.
+/// The number of nodes, and the time per call at a service that can answer at least a fifth of the nodes before calls
+/// time out.
 fn fleets() -> impl Strategy<Value = (usize, Millis)> {
     (2..=60usize).prop_flat_map(|count| {
-        let min_room = count.div_ceil(5) as Millis;
-        (Just(count), (min_room..=2 * count as Millis).prop_map(|room| SERVICE_TIMEOUT_MS / room))
+        let min_capacity = count.div_ceil(5) as Millis;
+        (Just(count), (min_capacity..=2 * count as Millis).prop_map(|capacity| SERVICE_TIMEOUT_MS / capacity))
     })
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
     /// Guards against late lists after a start of the whole fleet. Each node is answered by its first served call, so
-    /// discovery never does the same work twice, and the last node as soon as discovery can have answered all: it is never
-    /// idle for long while nodes wait.
+    /// discovery never does the same work twice, and the last node as soon as discovery can have answered all: it is
+    /// never idle for long while nodes wait.
     #[test]
     fn a_fleet_that_starts_at_once_costs_one_call_per_node(
         (count, per_call) in fleets(), seed in any::<u64>()
@@ -213,16 +213,16 @@
         fleet.run(60_000);
         prop_assert_eq!(fleet.service.charged, count);
         // Capacity that becomes free stays idle at most until a refused node retries.
-        let room = SERVICE_TIMEOUT_MS / per_call;
-        let idle = MAX_BACKOFF * count as Millis / room.min(count as Millis);
+        let capacity = SERVICE_TIMEOUT_MS / per_call;
+        let idle = MAX_BACKOFF * count as Millis / capacity.min(count as Millis);
         let latest = MAX_FIRST_CALL + count as Millis * per_call + idle;
         let received = fleet.received_by_all(0);
         prop_assert!(received.is_some_and(|at| at <= latest), "{received:?} of {latest}, {count} of {per_call} ms");
     }
 
-    /// Guards against requests to a server whose drain counts as announced, which it does 6 s after the silence of a watch
-    /// began. All watches fall silent at once. Where discovery can answer the whole fleet in 3.6 s, every node has the change
-    /// within the 6 s; where it cannot, it does little more work than one call per node.
+    /// Guards against requests to a server whose drain counts as announced, which it does 6 s after the silence of a
+    /// watch began. All watches fall silent at once. Where discovery can answer the whole fleet in 3.6 s, every node
+    /// has the change within the 6 s; where it cannot, it does little more work than one call per node.
     #[test]
     fn a_fleet_whose_watches_all_fall_silent_receives_the_missed_change(
         (count, per_call) in fleets(), seed in any::<u64>(), silent in 60_000..65_000u64
@@ -237,8 +237,8 @@
         prop_assert!(repeated >= count && repeated <= count + count.div_ceil(2), "{repeated} calls of {count} nodes");
     }
 
-    /// Guards against late changes: while all nodes watch, each change reaches every node at once and costs discovery no
-    /// call.
+    /// Guards against late changes: while all nodes watch, each change reaches every node at once and costs discovery
+    /// no call.
     #[test]
     fn a_watching_fleet_receives_each_change_at_once_without_further_cost(
         (count, per_call) in fleets(), seed in any::<u64>(),
--- a/crates/node/tests/unit/handover.rs
+++ b/crates/node/tests/unit/handover.rs
@@ -114,7 +114,8 @@
     assert_eq!(new.changed_orders(), None);
 }
 
-/// Guards against the loss of orders that an operator has been told are in effect, where the disk rejects writes for a while.
+/// Guards against the loss of orders that an operator has been told are in effect, where the disk rejects writes for a
+/// while.
 #[test]
 fn orders_that_could_not_be_written_are_written_on_a_later_try() {
     let folder = Folder::new("unwritten");
--- a/crates/node/tests/unit/lifecycle.rs
+++ b/crates/node/tests/unit/lifecycle.rs
@@ -15,8 +15,8 @@
 }
 
 proptest! {
-    /// Checks any sequence of commands: standby closes idle connections in time, `Active` undoes it at any time, and a stop
-    /// is final and completes by time alone.
+    /// Checks any sequence of commands: standby closes idle connections in time, `Active` undoes it at any time, and a
+    /// stop is final and completes by time alone.
     #[test]
     fn every_command_holds_until_the_next_one(commands in commands()) {
         let (mut lifecycle, mut now) = (Lifecycle::new(750_000_000), 0);
--- a/crates/node/tests/unit/poll_state.rs
+++ b/crates/node/tests/unit/poll_state.rs
@@ -128,8 +128,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
-    /// Guards against polling that stops (report 3d4b04). In whatever order calls end, also long after they timed out, a
-    /// call is in flight or scheduled and starts in time. The version only goes back where discovery restarted its
+    /// Guards against polling that stops (report 3d4b04). In whatever order calls end, also long after they timed out,
+    /// a call is in flight or scheduled and starts in time. The version only goes back where discovery restarted its
     /// versions.
     #[test]
     fn a_call_is_in_flight_or_scheduled_in_whatever_order_calls_end(
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Guards against requests to a server after its drain counts as announced. Whenever a call falls silent, the next one
-    /// asks for what it missed in time, and leaves time for a third call if it is silent too.
+    /// Guards against requests to a server after its drain counts as announced. Whenever a call falls silent, the next
+    /// one asks for what it missed in time, and leaves time for a third call if it is silent too.
     #[test]
     fn changes_missed_by_a_silent_call_are_fetched_before_they_count_as_announced(
         seed in any::<u64>(), known in prop::option::of(0..50u64), events in events(), after in 0..3_000u64
@@ -246,10 +246,10 @@
     AfterOutage,
 }
 
-/// Simulates polling through an outage that ends at `outage_end` (ms), and returns the ms from there until a call that was
-/// made after the outage is answered. During the outage calls have the given outcomes, one after the other. After it the
-/// first `silent_calls` calls are never answered, and all others are after `answer_ms`. Each step is late by one of the
-/// delays in `step_delays`, in ms.
+/// Simulates polling through an outage that ends at `outage_end` (ms), and returns the ms from there until a call that
+/// was made after the outage is answered. During the outage calls have the given outcomes, one after the other. After
+/// it the first `silent_calls` calls are never answered, and all others are after `answer_ms`. Each step is late by one
+/// of the delays in `step_delays`, in ms.
 fn ms_to_answer(
     seed: u64, outage_end: u64, answer_ms: u64, interval: u64, outcomes: &[Outcome], step_delays: &[u64],
     mut silent_calls: u32,
@@ -315,9 +315,9 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4_000))]
-    /// Guards against requests to servers that drained during an outage of discovery. Whatever calls failed, were refused,
-    /// late or silent before, the list arrives within 6 s of the end of the outage: back-off, jitter and calls in flight
-    /// never add up to more.
+    /// Guards against requests to servers that drained during an outage of discovery. Whatever calls failed, were
+    /// refused, late or silent before, the list arrives within 6 s of the end of the outage: back-off, jitter and calls
+    /// in flight never add up to more.
     #[test]
     fn the_list_arrives_within_6_s_of_the_end_of_an_outage(
         seed in any::<u64>(), outage_end in 0..60_000u64, answer_ms in 1..=700u64, interval in 1_000..=60_000u64, outcomes in outcomes()
@@ -346,8 +346,8 @@
     }
 }
 
-/// Guards against a return to an older list, which would undo a drain: the late answer to a timed-out call is stale, also
-/// after an answer that could not be read.
+/// Guards against a return to an older list, which would undo a drain: the late answer to a timed-out call is stale,
+/// also after an answer that could not be read.
 #[test]
 fn a_late_answer_after_an_unreadable_one_is_stale() {
     let mut session = Session::start(1, None);
@@ -373,8 +373,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
-    /// Guards against a return to an older list, which would undo a drain. Where the versions of discovery only rise, the
-    /// version of a node never goes back, whatever answers are missing, late, unreadable or out of order.
+    /// Guards against a return to an older list, which would undo a drain. Where the versions of discovery only rise,
+    /// the version of a node never goes back, whatever answers are missing, late, unreadable or out of order.
     #[test]
     fn the_version_never_goes_back_while_those_of_discovery_rise(
         seed in any::<u64>(), known in prop::option::of(0..3u64),
--- a/crates/node/tests/unit/start_times.rs
+++ b/crates/node/tests/unit/start_times.rs
@@ -22,8 +22,8 @@
     );
 }
 
-/// Guards against servers that count as cold for too long: by a clock that is an hour behind, a server that started half an
-/// hour ago would start in the future.
+/// Guards against servers that count as cold for too long: by a clock that is an hour behind, a server that started
+/// half an hour ago would start in the future.
 #[test]
 fn a_clock_that_is_an_hour_behind_puts_no_start_in_the_future() {
     let mut starts = StartTimes::default();
@@ -44,8 +44,8 @@
     );
 }
 
-/// Guards against full load on cold servers: by a clock that is an hour ahead, a server that has just started would have
-/// started an hour ago.
+/// Guards against full load on cold servers: by a clock that is an hour ahead, a server that has just started would
+/// have started an hour ago.
 #[test]
 fn a_clock_that_is_an_hour_ahead_leaves_a_new_server_cold() {
     let mut starts = StartTimes::default();
@@ -54,8 +54,8 @@
 }
 
 proptest! {
-    /// Whatever is announced, a start time is never in the future, and precedes the last answer without it by no more than
-    /// an announcement may be late. The same announcement always gives the same time.
+    /// Whatever is announced, a start time is never in the future, and precedes the last answer without it by no more
+    /// than an announcement may be late. The same announcement always gives the same time.
     #[test]
     fn a_start_is_never_in_the_future_nor_too_old_for_its_announcement(
         announcements in prop::collection::vec((0..4usize, any::<u64>(), prop::option::of(0..HOUR)), 1..40)
