--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -66,7 +66,7 @@
 
 /// A decision module and its clock.
 pub struct TestNode {
-    /// Time that the next event happens at.
+    /// Time of the next event.
     pub now: Nanos,
     pub balancer: Balancer,
     next_request: u64,
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -459,7 +459,7 @@
             let second_server = sent_to(&second_actions).or(sent_to(&later_actions));
             assert!(
                 !is_refused(&second_actions) && second_server.is_some(),
-                "refused though the server is free in 1 ms"
+                "refused although the server is free in 1 ms"
             );
             node.now += MS;
             let latency = if sent_to(&second_actions).is_some() { 2 * MS } else { MS };
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_request_without_servers_is_refused_once_before_its_deadline() {
+fn a_request_without_servers_is_refused_once_by_its_deadline() {
     let mut node = new_node(Effect::Safe, 0);
     let (_, mut actions) = node.request(0, S);
     actions.extend(node.advance(S));
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn a_placed_class_without_available_servers_is_refused_before_its_deadline() {
+fn a_placed_class_without_available_servers_is_refused_by_its_deadline() {
     for kinds in [vec![1], vec![7], vec![]] {
         let node_settings =
             settings(vec![placed_class(Effect::Safe, None, Some(kinds)), class(Effect::Safe)]);
