--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_request_without_servers_is_refused_once_before_its_deadline() {
+fn a_request_without_servers_is_refused_once_by_its_deadline() {
     let mut node = new_node(Idempotency::Idempotent, 0);
     let (_, mut actions) = node.request(0, S);
     actions.extend(node.advance(S));
@@ -448,7 +448,7 @@
 }
 
 #[test]
-fn a_placed_class_without_available_servers_is_refused_before_its_deadline() {
+fn a_placed_class_without_available_servers_is_refused_by_its_deadline() {
     for kinds in [vec![1], vec![7], vec![]] {
         let node_settings = settings(vec![
             placed_class(Idempotency::Idempotent, None, Some(kinds)),
