--- a/crates/replicated-log/src/durable/mod.rs
+++ b/crates/replicated-log/src/durable/mod.rs
@@ -86,6 +86,7 @@
     pub entries: Vec<RaftEntry>,
 }
 
+/// Reads and decodes a file; `None` if it does not exist. `what` names its content in errors.
 fn load_file<T: serde::de::DeserializeOwned>(
     disk: &dyn Disk, owner: &str, name: &str, what: &'static str,
 ) -> Result<Option<T>, LoadError> {
@@ -121,6 +122,7 @@
     }
 }
 
+/// Reads the entries after `base` and checks that they are complete and that their terms do not decrease.
 fn load_entries(
     disk: &dyn Disk, owner: &str, meta: &ReplicaMetadata, base: u64,
 ) -> Result<Vec<RaftEntry>, LoadError> {
@@ -216,19 +218,21 @@
         vec![file_write(METADATA_FILE, &self.meta)]
     }
 
+    /// Sets the range of the log to the entries after `base`.
     fn set_log_range(&mut self, base: u64) {
         let last = self.entries.keys().next_back().copied();
         self.meta.log = (base + 1, last.unwrap_or(base));
     }
 
+    /// The writes of all segments from the one that contains the index `from`.
     fn segment_writes(&self, from: u64) -> Vec<FileWrite> {
         let mut writes = Vec::new();
         let mut number = from / SEGMENT_ENTRIES;
         while self.entries.range(number * SEGMENT_ENTRIES..).next().is_some() {
-            let of = self.entries.range(number * SEGMENT_ENTRIES..(number + 1) * SEGMENT_ENTRIES);
-            let of: Vec<&RaftEntry> = of.map(|(_, entry)| entry).collect();
-            if !of.is_empty() {
-                writes.push(file_write(&segment_name(number), &of));
+            let segment = self.entries.range(number * SEGMENT_ENTRIES..(number + 1) * SEGMENT_ENTRIES);
+            let segment: Vec<&RaftEntry> = segment.map(|(_, entry)| entry).collect();
+            if !segment.is_empty() {
+                writes.push(file_write(&segment_name(number), &segment));
             }
             number += 1;
         }
--- a/crates/replicated-log/src/machine/local_replica.rs
+++ b/crates/replicated-log/src/machine/local_replica.rs
@@ -353,9 +353,9 @@
             self.replica.iter_mut().for_each(Replica::step_down);
         }
         if !durable {
-            // After a failed sync the content of the disk is unknown, so this process does not read it again. No message
-            // that depends on the failed write was sent. The data may or may not be there, so everything is rewritten
-            // as new files.
+            // After a failed sync the content of the disk is unknown, so this process does not read it again. No
+            // message that depends on the failed write was sent. The data may or may not be there, so everything is
+            // rewritten as new files.
             if self.disk_failed_since.is_none() {
                 actions.push(Action::Notify(Notification::StorageRejected(
                     "a write failed: the voter slot is suspended until the disk accepts a complete rewrite",
--- a/crates/replicated-log/src/replica/mod.rs
+++ b/crates/replicated-log/src/replica/mod.rs
@@ -157,10 +157,12 @@
     pub fn debug_summary(&self) -> String {
         let raft = &self.raw_node.raft;
         let (state, term, committed) = (raft.state, raft.term, raft.raft_log.committed);
-        let (behind, saving) = (self.needs_catch_up, self.pending_ready.is_some());
-        let (waits, voters) = (self.deferred_messages.len(), raft.prs().conf().voters().ids().iter().count());
+        let (needs_catch_up, saving) = (self.needs_catch_up, self.pending_ready.is_some());
+        let (deferred, voters) =
+            (self.deferred_messages.len(), raft.prs().conf().voters().ids().iter().count());
         format!(
-            "{state:?} in term {term}, last index {}, committed {committed}, needs catch-up {behind}, saving {saving}, {waits} deferred messages, {voters} voters",
+            "{state:?} in term {term}, last index {}, committed {committed}, needs catch-up {needs_catch_up}, \
+             saving {saving}, {deferred} deferred messages, {voters} voters",
             self.last_index()
         )
     }
@@ -213,7 +215,7 @@
         let Some(message) = message.to_protobuf() else { return };
         let log = &self.raw_node.raft.raft_log;
         let mut committed = message.entries.iter().filter(|entry| entry.index <= log.committed);
-        if committed.any(|entry| log.term(entry.index).is_ok_and(|own| own != 0 && own != entry.term)) {
+        if committed.any(|entry| log.term(entry.index).is_ok_and(|term| term != 0 && term != entry.term)) {
             // Committed entries differ, for example after a disk lost a write that it had reported as durable.
             self.needs_catch_up = true;
             return;
@@ -316,7 +318,7 @@
             EntryType::EntryNormal if entry.data.is_empty() => EntryPayload::Nothing,
             EntryType::EntryNormal => match postcard::from_bytes(&entry.data) {
                 Ok(command) => EntryPayload::Command(command),
-                // The entry was written by a version with another encoding. A leader can decode what it proposed itself.
+                // A version with another encoding wrote the entry. A leader can decode what it proposed itself.
                 Err(_) => EntryPayload::Nothing,
             },
             _ => {
--- a/crates/replicated-log/tests/state_machine.rs
+++ b/crates/replicated-log/tests/state_machine.rs
@@ -187,7 +187,10 @@
     for node in 0..4 {
         let halted = |(at, notification): &(usize, Notification)| {
             *at == node
-                && matches!(notification, Notification::Halted(unknown) if unknown.kind == 900 && unknown.index == before + 1)
+                && matches!(
+                    notification,
+                    Notification::Halted(unknown) if unknown.kind == 900 && unknown.index == before + 1
+                )
         };
         assert!(network.notifications.iter().any(halted), "n{node}");
         assert_eq!(network.nodes[node].state().index, before);
@@ -220,7 +223,10 @@
     let started = network.now;
     let reported = |(at, notification): &(usize, Notification)| {
         *at != 4
-            && matches!(notification, Notification::StateDiverged(node, _, part) if &**node == "n4" && part == "register")
+            && matches!(
+                notification,
+                Notification::StateDiverged(node, _, part) if &**node == "n4" && part == "register"
+            )
     };
     while !network.notifications.iter().any(reported) {
         assert!(network.now < started + 60 * SECOND, "not reported within a minute");
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -131,8 +131,8 @@
 }
 
 impl File {
-    /// A file for a value of this kind that belongs to the node `owner`, in this version of its format. `owner` may have
-    /// up to 255 bytes.
+    /// A file for a value of this kind that belongs to the node `owner`, in this version of its format. The name of
+    /// the owner has up to 255 bytes.
     pub fn new(kind: &str, owner: &str, version: u8) -> Self {
         File { name: format!("{kind}.mf"), owner: owner.to_owned(), version }
     }
@@ -142,6 +142,7 @@
         &self.name
     }
 
+    /// The bytes before the length of the value.
     fn header(&self) -> Result<Vec<u8>, StoreError> {
         let owner = u8::try_from(self.owner.len()).map_err(|_| StoreError::InvalidValue)?;
         Ok([&MAGIC[..], &[HEADER_VERSION, self.version, owner], self.owner.as_bytes()].concat())
@@ -227,8 +228,8 @@
     }
 
     proptest! {
-        /// Guards against loading a file that was truncated at any byte or has any bit flipped. It must be reported once
-        /// and renamed.
+        /// Guards against loading a file that was truncated at any byte or has any bit flipped. It must be reported
+        /// once and renamed.
         #[test]
         fn a_damaged_file_is_set_aside(cut in 0usize..60, flip in 0usize..60, bit in 0u8..8) {
             let (_folder, disk) = TemporaryFolder::new("damaged");
