--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -1,26 +1,25 @@
-//! What goes into the decision module and what comes out of it: settings, events, actions.
+//! Settings, events and actions: everything that goes into the decision module and comes out of it.
 //!
-//! Times are nanoseconds on a clock of the host's choosing that only goes forward. Names (of
-//! servers, classes, tenants, zones) are numbers handed out by the host; the module only tells
-//! them apart.
+//! Times are nanoseconds on a monotonic clock of the host's choice. Servers, classes, tenants, zones and host
+//! types are numbered by the host; the module only compares these numbers.
 
 pub use crate::dynamic_settings::{DynamicClassSettings, DynamicSettings};
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A server, numbered by the host from 0 without large gaps; the number is never used again.
+/// Identifies a server. The host numbers servers from 0 without large gaps and never reuses a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// A request; never comes twice.
+/// Identifies a request. The host never reuses a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The servers that drop each other's repeats of a keyed request.
+/// The servers among which repeated attempts of a keyed request are deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every server.
+    /// All servers.
     All,
     /// The servers of one zone.
     Zone,
@@ -28,53 +27,53 @@
     Cell,
 }
 
-/// What running a request more than once does.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated and refused freely.
+    /// The request may be repeated, and refused after an attempt, without restriction.
     Idempotent,
-    /// Nothing, if the repeat reaches the same group soon enough.
+    /// A repeated attempt has no effect if it reaches the same scope within the window.
     Keyed {
-        /// Where a repeat is recognised.
+        /// Servers that recognize a repeated attempt.
         scope: DedupScope,
-        /// For how long, from the send of the first attempt that might have run.
+        /// How long they recognize it, from the send of the first attempt that may have run.
         window: Nanos,
     },
-    /// Harm: never twice.
+    /// The request must not run more than once.
     NonIdempotent,
 }
 
-/// Where a class of requests may run: at every attempt, also when all of these servers are down.
+/// Placement constraint of a class. It applies to every attempt, even if all of the allowed servers are down.
 ///
-/// `None` leaves the choice free; an empty list is a list, and allows nothing.
+/// `None` is no constraint; an empty list allows no server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Placement {
-    /// The only zones.
+    /// Allowed zones.
     pub zones: Option<Vec<u16>>,
-    /// The only kinds of machine.
+    /// Allowed host types.
     pub host_types: Option<Vec<u16>>,
 }
 
 impl Placement {
-    /// Whether this server may be sent the class.
+    /// Whether requests of the class may be sent to this server.
     pub fn allows(&self, server: &ServerEntry) -> bool {
-        let within = |list: &Option<Vec<u16>>, n| list.as_ref().is_none_or(|list| list.contains(&n));
-        within(&self.zones, server.zone) && within(&self.host_types, server.host_type)
+        let allowed = |list: &Option<Vec<u16>>, n| list.as_ref().is_none_or(|list| list.contains(&n));
+        allowed(&self.zones, server.zone) && allowed(&self.host_types, server.host_type)
     }
 
-    /// Whether the class may go to any server at all.
+    /// Whether there is no constraint.
     pub fn is_free(&self) -> bool {
         self.zones.is_none() && self.host_types.is_none()
     }
 }
 
-/// The retry budget that a deployment states: in any window, attempts beyond each request's first
-/// number at most `free` plus `share` of the requests taken in it.
+/// Limit on retries: in any window, the attempts beyond each request's first number at most `base` plus
+/// `per_request` for each request received in that window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudget {
-    /// Further attempts that are allowed however little is asked.
+    /// Retries that are allowed in each window regardless of the number of requests.
     pub base: f64,
-    /// Further attempts for each request taken.
+    /// Additional retries for each received request.
     pub per_request: f64,
     /// Length of the window.
     pub window: Nanos,
@@ -83,131 +82,131 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// Latency up to which an answer has the full value.
     pub target_latency: Nanos,
-    /// How long the client waits in all, over all of its tries.
+    /// How long the client waits in total, over all of its tries.
     pub deadline: Nanos,
-    /// Worth of one request.
+    /// Value of one answered request, relative to other classes.
     pub value: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Share of the value that an answer after the target latency still has.
     pub late_value_share: f64,
-    /// What a repeat does.
+    /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
-    /// Where it may run.
+    /// Where requests of the class may run.
     pub placement: Placement,
 }
 
 /// A tenant of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all nodes that count in full; infinite where there is no such limit.
+    /// Requests per second over all nodes that have their full value; infinite: no quota.
     pub quota_per_s: f64,
 }
 
-/// How a node hears of servers.
+/// How a node learns about servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Changes are pushed to the node without a request.
     #[default]
     Push,
     /// Changes arrive only after [`Action::Watch`].
     Watch,
 }
 
-/// What a node is told at its start. Everything else it has to observe.
+/// Configuration of a node at its start. Everything else is learned from events.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// This node's number among its peers.
+    /// Index of this node among the nodes of the fleet.
     pub node_index: u32,
-    /// Nodes in all.
+    /// Number of nodes in the fleet.
     pub node_count: u32,
-    /// The node's own zone.
+    /// Zone of this node.
     pub zone: u16,
-    /// Request classes, by number.
+    /// Request classes, by index.
     pub classes: Vec<Class>,
-    /// Tenants, by number; may be empty.
+    /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's quota, as a share of the usual.
+    /// Value of a request over its tenant's quota, as a share of the value within the quota.
     pub over_quota_value_share: f64,
-    /// How servers become known.
+    /// How the node learns about servers.
     pub discovery: Discovery,
-    /// Server weights mean something: they stand for a server's registered size.
+    /// Whether server weights are meaningful: they then state the registered size of each server.
     pub weighted: bool,
-    /// A server that met a key lately serves it with less work.
+    /// Whether a server needs less work for a key that it has served recently.
     pub key_affinity: bool,
-    /// Price of an attempt that leaves its zone, as a share of a request's worth.
+    /// Cost of an attempt in another zone, as a share of the value of a request.
     pub cross_zone_price: f64,
-    /// Attempts that a request may have.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// The stated budget of further attempts, where there is one.
+    /// Limit on retries; `None`: no limit is stated.
     pub retry_budget: Option<RetryBudget>,
-    /// A request may have two attempts out at once.
+    /// Whether a request may have two attempts open at once.
     pub may_hedge: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub may_probe: bool,
-    /// Nodes may send each other messages.
+    /// Whether nodes may send messages to each other.
     pub may_message_peers: bool,
-    /// Clients heed advice on when to come back.
+    /// Whether clients honour a recommended delay before their next try.
     pub retry_after: bool,
-    /// The longest such wait that they heed.
+    /// The longest such delay that clients honour.
     pub max_retry_after: Nanos,
-    /// With [`Discovery::Ask`]: how often news must have been asked for.
+    /// With [`Discovery::Watch`]: the longest allowed time between two watches.
     pub watch_interval: Nanos,
-    /// Least share of its capacity that a server starts with.
+    /// Slow start: share of its full capacity that a server has at least when it starts.
     pub initial_capacity_share: f64,
-    /// Time after which a started server is warm at the latest.
+    /// Slow start: time after which a started server has its full capacity.
     pub slow_start_duration: Nanos,
-    /// Multiple of its present capacity that makes a cold server fall over ...
+    /// Slow start: multiple of its current capacity that overloads a server ...
     pub overload_factor: f64,
-    /// ... when it is sent for this long.
+    /// ... if the server receives it for this long.
     pub overload_duration: Nanos,
 }
 
-/// Whether a server takes new work.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// It does.
+    /// It accepts new requests.
     #[default]
     Ready,
-    /// It finishes what it has.
+    /// It completes the requests that it has and accepts no new ones.
     Draining,
-    /// It is no more.
+    /// It has left the fleet.
     Removed,
 }
 
-/// One line of the server list.
+/// An entry of the server list.
 #[derive(Clone, Debug, Default)]
 pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
-    /// A fixed hash of the server's name, the same at every node.
+    /// Hash of the server's name, which is the same at every node.
     pub name_hash: u64,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u16,
-    /// Its kind of machine.
+    /// Host type of the server.
     pub host_type: u16,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u64,
-    /// Whether it takes work.
+    /// Whether it accepts new requests.
     pub readiness: Readiness,
-    /// Registered size, to compare with that of others.
+    /// Registered size, relative to other servers.
     pub weight: f64,
     /// When it last started; 0: long ago.
     pub started_at: Nanos,
 }
 
-/// What kind of news about servers this is.
+/// What an [`Event::Servers`] contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list as it was last held, possibly long ago.
+    /// The complete list as last stored by this node, possibly long ago.
     Persisted,
-    /// The whole list.
+    /// The complete list.
     Complete,
     /// Changed entries only.
     Partial,
-    /// A call failed or a subscription broke; no entries.
+    /// No entries: a call failed or a subscription was interrupted.
     Failed,
 }
 
@@ -216,108 +215,109 @@
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Its class, an index into [`Settings::classes`].
+    /// Index into [`Settings::classes`].
     pub class: usize,
-    /// Its tenant, an index into [`Settings::tenants`].
+    /// Index into [`Settings::tenants`].
     pub tenant: Option<usize>,
-    /// What it is about.
+    /// Key of the data that it accesses.
     pub key: Option<u64>,
-    /// Time until the client gives this try up.
+    /// Time until the client abandons this try.
     pub client_timeout: Nanos,
     /// Expected work, as time on a standard core.
     pub cost_hint: Option<Nanos>,
-    /// Marked by the client as a repeat.
+    /// Whether the client has marked it as a retry.
     pub is_retry: bool,
-    /// Its body passes through while it comes: no server starts on it before [`Event::Uploaded`].
+    /// Whether its body is forwarded while it arrives. The server starts on it at [`Event::BodySent`].
     pub streams_body: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// The server answered successfully.
     Ok,
     /// The server answered with an error.
     Error,
-    /// Turned away unseen.
+    /// The server rejected the attempt without processing it.
     Rejected,
-    /// No answer in time.
+    /// No answer arrived before the timeout.
     Timeout,
-    /// No connection.
+    /// No connection to the server could be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was interrupted.
     Reset,
-    /// Called off by this node.
+    /// This node cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// This node never sent the attempt.
     NotSent,
 }
 
 impl Status {
-    /// Whether it proves that the attempt never ran.
+    /// Whether the status proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent)
     }
 }
 
-/// A server's own account of its load; any figure may be absent, stale or off.
+/// Load that a server reports about itself. Any figure may be absent, outdated or inaccurate.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests in progress.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Requests in its queue.
     pub queue: Option<f64>,
     /// Share of its cores in use.
     pub utilization: Option<f64>,
-    /// Requests served a second.
+    /// Requests answered per second.
     pub qps: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub eps: Option<f64>,
-    /// Time that a request took there of late, without waiting.
+    /// Recent processing time of a request, without waiting time.
     pub service_time: Option<Nanos>,
 }
 
-/// What happens to a node. The first event is the persisted server list.
+/// Input of a node. The first event of a node is its persisted server list.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News about servers.
+    /// The server list, or changes to it.
     Servers {
-        /// What kind.
+        /// What `entries` contains.
         kind: ListKind,
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A request to answer.
+    /// A client has sent a request.
     Request(Request),
-    /// The last byte of a long request has gone to the server of its open attempt, which starts on it now.
+    /// The last byte of a streamed request body was sent to the server of the open attempt, which now starts
+    /// to process the request.
     BodySent(RequestId),
-    /// The answer to a streamed request has begun.
+    /// The first byte of a streamed answer has arrived.
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// The attempt that answers it.
+        /// The attempt that is answered.
         attempt: u32,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency: Nanos,
     },
     /// An attempt ended.
     Outcome {
         /// The request.
         id: RequestId,
-        /// The attempt, counted from 0 in the order of sends.
+        /// Index of the attempt, from 0 in the order of sends.
         attempt: u32,
-        /// Where it went.
+        /// Server of the attempt.
         server: ServerId,
         /// How it ended.
         status: Status,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency: Nanos,
-        /// The request is over.
+        /// Whether the request is over, so that it needs no further attempt or answer.
         terminal: bool,
-        /// The server's load, where it came along.
+        /// Load report that the server attached to its answer.
         report: Option<LoadReport>,
     },
-    /// The client has left; nothing more is owed.
+    /// The client has disconnected and needs no answer.
     ClientGone(RequestId),
     /// A probe ended.
     ProbeOutcome {
@@ -325,74 +325,75 @@
         server: ServerId,
         /// How it ended.
         status: Status,
-        /// Time since it was sent.
+        /// Time since the probe was sent.
         latency: Nanos,
-        /// The server's load, where it came along.
+        /// Load report that the server attached to its answer.
         report: Option<LoadReport>,
     },
-    /// A peer's message.
+    /// A message from a peer.
     PeerMessage {
-        /// Its number.
+        /// Index of the peer.
         from: u32,
-        /// What it said.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
-    /// Operators take a server out by hand, or put it back. That holds whatever the list says of it.
+    /// An operator takes a server out of service or puts it back. This overrides the server list.
     Maintenance {
         /// The server; it need not be in the list.
         server: ServerId,
-        /// Whether it is out from now on.
+        /// Whether it is out of service from now on.
         out: bool,
-        /// When that was ordered: an order may be older than the process that hears of it.
+        /// When this was ordered, which may be before this process was started.
         ordered_at: Nanos,
     },
-    /// Other figures hold from now on; what has been learned stays.
+    /// Replaces the dynamic settings. Learned state is kept.
     Reconfigured(Box<DynamicSettings>),
-    /// A timer set by the module has come due.
+    /// A timer set by [`Action::Timer`] has expired.
     Timer(u64),
 }
 
-/// Bytes that a message to a peer may have.
+/// Maximum size of a message to a peer.
 pub const MAX_MESSAGE_BYTES: usize = 256;
 
-/// What a node is to do.
+/// Output of a node, which the host carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// Destination.
         server: ServerId,
-        /// Its time-out; 0: until the client gives up.
+        /// Timeout of the attempt; 0: until the client's timeout.
         timeout: Nanos,
-        /// How soon it has to be written, or not at all: a repeat that is only known for a while.
+        /// Time within which the attempt must be written or else dropped: servers recognize a repeated
+        /// attempt only until then.
         send_within: Option<Nanos>,
     },
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// Final answer: turned away, and trying again does no harm.
+    /// Final answer: the request is refused, and the client may safely retry it.
     Refuse {
         /// The request.
         id: RequestId,
-        /// Advice on when to come back; 0: none.
+        /// Recommended delay before a retry; 0: none.
         retry_after: Nanos,
     },
-    /// Final answer: failed, with nothing promised about its effect.
+    /// Final answer: the request failed and may or may not have taken effect.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Bring [`Event::Timer`] with this token.
+    /// Deliver [`Event::Timer`] with this token.
     Timer {
         /// Time from now.
         after: Nanos,
-        /// What to bring back.
+        /// Token to pass back.
         token: u64,
     },
     /// Probe a server.
@@ -400,13 +401,13 @@
         /// The server.
         server: ServerId,
     },
-    /// Send bytes to one peer, or to all.
+    /// Send a message to one peer or to all of them.
     SendToPeers {
-        /// The peer's number; none: all of them.
+        /// Index of the peer; `None`: all peers.
         to: Option<u32>,
-        /// At most [`MESSAGE_MOST`].
+        /// At most [`MAX_MESSAGE_BYTES`] bytes.
         bytes: Vec<u8>,
     },
-    /// Subscribe to news about servers.
+    /// Watch the server list for changes.
     Watch,
 }
--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decide/src/policy/attempts.rs
@@ -1,185 +1,175 @@
-//! Attempts: sent, timed, and what follows their ends.
+//! Attempts: sending them, their timeouts, and what follows their outcomes.
 
 use super::*;
 
 impl Balancer {
+    /// Sends an attempt of the request if its limits and the available servers allow it; true if sent. A
+    /// request that may not wait any longer (`may_wait` is false) may use servers beyond the node's rotation.
     pub(super) fn send_attempt(
-        &mut self, now: Nanos, id: RequestId, patient: bool, out: &mut Vec<Action>,
+        &mut self, now: Nanos, id: RequestId, may_wait: bool, actions: &mut Vec<Action>,
     ) -> bool {
-        let held = &self.requests[&id];
-        if held.attempts.len() >= held.max_attempts || now >= held.deadline {
+        let request = &self.requests[&id];
+        if request.attempts.len() >= request.max_attempts || now >= request.deadline {
             return false;
         }
-        // The stated budget, at its strictest on both edges of its window, for all attempts after a first.
-        let (b, from) = (self.retry_budget, now.saturating_sub(self.retry_budget.window));
-        let allowed = b.base + b.per_request * self.recent_requests.count_since(from + 1) as f64;
-        let further = !held.attempts.is_empty();
-        if further && self.recent_retries.count_since(from) as f64 + 1.0 > allowed {
+        // The window of the budget is strict at both ends: at its oldest instant retries count and requests
+        // do not.
+        let (budget, oldest) = (self.retry_budget, now.saturating_sub(self.retry_budget.window));
+        let allowed = budget.base + budget.per_request * self.recent_requests.count_since(oldest + 1) as f64;
+        let is_retry = !request.attempts.is_empty();
+        if is_retry && self.recent_retries.count_since(oldest) as f64 + 1.0 > allowed {
             return false;
         }
-        // What cannot be answered in the time that is left would only keep others waiting.
-        let useful = if held.useful_late { Nanos::MAX } else { held.target_at };
-        let left = useful.min(held.deadline).saturating_sub(now) as f64;
-        if !held.body_pending
-            && self.latency_stats[held.class].samples >= DEPTH_SAMPLES
-            && left < self.latency_at(held.class, -1.0)
+        // An attempt that cannot be answered in the remaining time would only delay others.
+        let useful_until = if request.useful_late { Nanos::MAX } else { request.target_at };
+        let remaining = useful_until.min(request.deadline).saturating_sub(now) as f64;
+        if !request.body_pending
+            && self.latency_stats[request.class].samples >= DEPTH_SAMPLES
+            && remaining < self.latency_at(request.class, -1.0)
         {
             return false;
         }
-        let Some(server_id) = self.pick_server(now, id, patient) else { return false };
-        let held = &self.requests[&id];
-        let (timeout, chosen) = (self.attempt_timeout(now, held, server_id), &self.servers[&server_id]);
-        let allowance = self.available_tokens(
-            now,
-            chosen,
-            self.capacity_share(now, &chosen.entry),
-            self.slow_start_rate(now),
-        );
-        let server = self.servers.get_mut(&server_id).expect("it has just been picked");
-        (server.slow_start_tokens, server.tokens_updated_at) = (allowance - 1.0, now);
+        let Some(server_id) = self.pick_server(now, id, may_wait) else { return false };
+        let request = &self.requests[&id];
+        let timeout = self.attempt_timeout(now, request, server_id);
+        let chosen = &self.servers[&server_id];
+        let capacity_share = self.capacity_share(now, &chosen.entry);
+        let tokens = self.available_tokens(now, chosen, capacity_share, self.slow_start_rate(now));
+        let server = self.servers.get_mut(&server_id).expect("the picked server is known");
+        (server.slow_start_tokens, server.tokens_updated_at) = (tokens - 1.0, now);
         server.last_send = self.send_count;
         let depth = (server.in_flight as usize).min(TRACKED_DEPTHS - 1);
         self.send_count += 1;
-        let (server, zone, cell) = (server_id, server.entry.zone, server.entry.cell);
-        // Its connection may come up late, and then it may not go any more.
-        let window = match self.settings.classes[held.class].idempotency {
+        let (zone, cell) = (server.entry.zone, server.entry.cell);
+        // The connection may be established so late that the repeated attempt is not recognized any more.
+        let window = match self.settings.classes[request.class].idempotency {
             Idempotency::Keyed { window, .. } => Some(window),
             _ => None,
         };
-        let ran = held.attempts.iter().filter(|a| a.may_have_run).map(|a| a.sent_at).min();
-        let within = window.zip(ran).map(|(w, ran)| ran.saturating_add(w).saturating_sub(now));
-        out.push(Action::Send { id, server, timeout, send_within: within });
-        let held = self.requests.get_mut(&id).expect("it has just been looked at");
-        let timeout = if timeout == 0 { held.deadline - now } else { timeout };
-        let long = held.body_pending;
-        held.attempts.push(Attempt {
-            server,
+        let first_run = request.attempts.iter().filter(|a| a.may_have_run).map(|a| a.sent_at).min();
+        let send_within = window.zip(first_run).map(|(w, at)| at.saturating_add(w).saturating_sub(now));
+        actions.push(Action::Send { id, server: server_id, timeout, send_within });
+        let request = self.requests.get_mut(&id).expect("the request was found above");
+        let body_pending = request.body_pending;
+        request.attempts.push(Attempt {
+            server: server_id,
             zone,
             cell,
             sent_at: now,
             may_have_run: true,
             depth,
-            timeout,
+            timeout: if timeout == 0 { request.deadline - now } else { timeout },
             open: true,
-            excluded_from_load: long,
+            excluded_from_load: body_pending,
         });
-        if !long {
+        if !body_pending {
             self.add_load(now, id);
         }
-        if further {
-            self.recent_retries.add(now, b.window);
+        if is_retry {
+            self.recent_retries.add(now, budget.window);
         }
         self.refresh(now, server_id);
         true
     }
 
-    /// How long to wait for an attempt: until it is overdue if there is time and budget for another.
-    pub(super) fn attempt_timeout(&self, now: Nanos, held: &PendingRequest, server: ServerId) -> Nanos {
-        let usual = &self.latency_stats[held.class];
+    /// Timeout of an attempt: until it is overdue if there are time and budget for another one; 0: until the
+    /// client's timeout.
+    fn attempt_timeout(&self, now: Nanos, request: &PendingRequest, server: ServerId) -> Nanos {
+        let latency = &self.latency_stats[request.class];
         let server = &self.servers[&server];
         let slowness = server.relative_latency().unwrap_or(1.0).max(1.0)
             / self.capacity_share(now, &server.entry).max(0.1);
-        let overdue = (overdue_latency(usual) * slowness) as Nanos;
-        let class = &self.settings.classes[held.class];
-        let again = match class.idempotency {
+        let overdue = (overdue_latency(latency) * slowness) as Nanos;
+        let repeatable = match self.settings.classes[request.class].idempotency {
             Idempotency::NonIdempotent => false,
             Idempotency::Idempotent => true,
             Idempotency::Keyed { window, .. } => overdue < window,
         };
-        let spare = held.attempts.len() + 1 < held.max_attempts && self.retry_tokens >= 1.0;
-        let end = now.saturating_add(overdue).saturating_add(usual.mean as Nanos);
-        let time = end <= held.target_at.min(held.deadline);
-        // Under strain the aim ends it, if late answers are worth nothing: work may stop with it.
-        let cut = !held.useful_late && self.overload(held.class, 0.0) >= REFUSAL_START_DEVIATIONS;
-        match again && spare && time {
-            true => overdue,
-            false => u64::from(cut) * held.target_at.saturating_sub(now),
+        let has_budget = request.attempts.len() + 1 < request.max_attempts && self.retry_tokens >= 1.0;
+        let retry_done = now.saturating_add(overdue).saturating_add(latency.mean as Nanos);
+        let has_time = retry_done <= request.target_at.min(request.deadline);
+        if repeatable && has_budget && has_time {
+            return overdue;
+        }
+        // During overload the attempt ends at the target latency if a late answer has no value, because the
+        // server may then stop working on it.
+        let overloaded = self.overload(request.class, 0.0) >= REFUSAL_START_DEVIATIONS;
+        match !request.useful_late && overloaded {
+            true => request.target_at.saturating_sub(now),
+            false => 0,
         }
     }
 
-    pub(super) fn handle_outcome(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        let Event::Outcome { id, attempt, server: at, status, latency, terminal, report } = event else {
+    /// Processes [`Event::Outcome`]: updates what is known about the server, the load and the latencies, and
+    /// retries the request or gives its final answer.
+    pub(super) fn handle_outcome(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        let Event::Outcome { id, attempt, server: server_id, status, latency, terminal, report } = event
+        else {
             return;
         };
         let latency = latency.min(MAX_LATENCY);
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        let (class, aim_at, over) = (held.class, held.target_at, held.answered || terminal);
-        let Some(tried) = held.attempts.get_mut(attempt as usize).filter(|a| a.open) else { return };
-        (tried.open, tried.may_have_run) = (false, !status.never_ran());
-        let (given, depth, sent) = (tried.timeout, tried.depth, tried.sent_at);
-        if !tried.excluded_from_load {
-            self.remove_load(class, at);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let (class, target_at, answered) = (request.class, request.target_at, request.answered || terminal);
+        let Some(attempt) = request.attempts.get_mut(attempt as usize).filter(|a| a.open) else { return };
+        (attempt.open, attempt.may_have_run) = (false, !status.never_ran());
+        let (timeout, depth, sent_at) = (attempt.timeout, attempt.depth, attempt.sent_at);
+        if !attempt.excluded_from_load {
+            self.remove_load(class, server_id);
         }
-        if let Some(server) = self.servers.get_mut(&at) {
+        if let Some(server) = self.servers.get_mut(&server_id) {
             if status == Status::Ok {
                 (server.consecutive_failures, server.ejected_until) = (0, 0);
             }
             if server.entry.readiness == Readiness::Removed && server.in_flight == 0 {
-                self.servers.remove(&at).map(|s| self.unlink(s));
+                self.servers.remove(&server_id).map(|s| self.unlink(s));
             }
         }
         let failed = !matches!(status, Status::Ok | Status::Cancelled | Status::NotSent);
-        // Failures count at the whole time-out, cold servers at their warm speed: growth is no strain.
-        let warmth = self.servers.get(&at).map_or(1.0, |s| self.capacity_share(now, &s.entry));
-        // One that its client's own short time has ended tells of its server only what is worse than known.
-        let early = status == Status::Timeout && (latency as f64) * warmth < self.latency_at(class, 0.0);
-        let taken = if failed { given.max(latency) } else { latency } as f64 * warmth;
+        // A failure counts with its whole timeout. Latencies of a server in slow start are scaled to its full
+        // capacity, so that warming up is not taken for congestion.
+        let capacity_share = self.servers.get(&server_id).map_or(1.0, |s| self.capacity_share(now, &s.entry));
+        let taken = if failed { timeout.max(latency) } else { latency } as f64 * capacity_share;
+        // A timeout below the mean latency is due to the client's short timeout. It says something about the
+        // server only if that is worse than what is known.
+        let early =
+            status == Status::Timeout && (latency as f64) * capacity_share < self.latency_at(class, 0.0);
         if status == Status::Ok {
-            let usual = &mut self.latency_stats[class];
-            usual.add(taken, LATENCY_SAMPLES);
-            let risen = self.unloaded_latency[class]
-                + UNLOADED_LATENCY_GAIN * (usual.mean - self.unloaded_latency[class]);
-            let base =
-                if usual.samples < UNLOADED_LATENCY_SAMPLES { usual.mean } else { risen.min(usual.mean) };
-            // Learned within a jam it would hide the jam: an aim leaves room for queues.
-            self.unloaded_latency[class] =
-                base.min(self.settings.classes[class].target_latency as f64 * MAX_UNLOADED_LATENCY_SHARE);
-            let base = self.unloaded_latency[class];
-            let pool = &mut self.pools[self.pool_of_class[class]];
-            pool.answered_work.add(now, LOAD_WINDOW_NS, base);
-            let fades = LOAD_WINDOW_NS.max(PEAK_DECAY_LATENCIES * base);
-            pool.peak_concurrency *= (-(now.saturating_sub(pool.last_answer_at) as f64) / fades).exp();
-            pool.recent_answers.add(now, base, 1.0);
-            pool.peak_concurrency =
-                pool.peak_concurrency.max(pool.recent_answers.get(now, base) / self.ring.len().max(1) as f64);
-            // Few get beyond the limit: each of them has to tell more.
-            let most = if (depth as u32) < self.depth_limit { 4.0 * DEPTH_SAMPLES } else { DEPTH_SAMPLES };
-            self.depth_stats[depth].add((taken / base).min(2.0 * MAX_DEPTH_SLOWDOWN), most);
-            self.record_congestion(now, class, Some(taken / base), warmth);
-            self.exclude_overtaken(now, at, sent);
+            self.record_answer(now, class, depth, taken, capacity_share);
+            self.exclude_overtaken(now, server_id, sent_at);
         } else if failed && !early {
-            self.record_failure(now, at, class, status, sent); // one that is gone tells no strain
+            self.record_failure(now, server_id, class, status, sent_at);
+            // A server that cannot be reached is no evidence of congestion.
             if matches!(status, Status::Rejected | Status::Timeout) {
-                self.record_congestion(now, class, None, warmth);
+                self.record_congestion(now, class, None, capacity_share);
             }
         }
-        let tag = self.servers.get(&at).map(|s| s.entry.name_hash as u32);
-        if let Some(tag) = tag.filter(|_| failed || status == Status::Ok) {
-            // A server's own account of its service leaves out what it waits for others.
-            let told = report.and_then(|r| r.service_time).filter(|&told| told > 0 && !failed);
-            told.into_iter().for_each(|told| self.service_time.add(told as f64, LATENCY_SAMPLES));
-            let sample = told
-                .map_or(taken / self.latency_stats[class].mean, |told| told as f64 / self.service_time.mean);
-            let known =
-                self.servers.get(&at).and_then(|s| s.by_class[class].relative_latency).filter(|_| early);
-            let sample = sample.max(known.unwrap_or(0.0)).clamp(1.0 / 256.0, 255.0);
-            self.record_latency(now, at, class..class + 1, sample);
-            if self.settings.may_message_peers && self.peer_report.len() < MAX_MESSAGE_BYTES {
-                let code = ((sample.log2() + 8.0) * REPORT_STEPS_PER_DOUBLING) as u32;
-                self.peer_report.extend((tag & !255 | code & 255).to_le_bytes());
+        let name_hash = self.servers.get(&server_id).map(|s| s.entry.name_hash as u32);
+        if let Some(name_hash) = name_hash.filter(|_| failed || status == Status::Ok) {
+            // The service time that a server reports excludes the time that it waits for other services.
+            let reported = report.and_then(|r| r.service_time).filter(|&time| time > 0 && !failed);
+            if let Some(time) = reported {
+                self.service_time.add(time as f64, LATENCY_SAMPLES);
             }
+            let sample = reported
+                .map_or(taken / self.latency_stats[class].mean, |time| time as f64 / self.service_time.mean);
+            let known = self.servers.get(&server_id).and_then(|s| s.by_class[class].relative_latency);
+            let sample = sample.max(known.filter(|_| early).unwrap_or(0.0)).clamp(1.0 / 256.0, 255.0);
+            self.record_latency(now, server_id, class..class + 1, sample);
+            self.append_to_peer_report(name_hash, sample);
         }
-        self.refresh(now, at);
-        if over {
+        self.refresh(now, server_id);
+        if answered {
             self.close(id);
         } else if self.requests[&id].attempts.iter().all(|a| !a.open) {
+            // A retry is free if the attempt never ran and the servers are not overloaded.
             let free = status.never_ran() && self.overload(class, 0.0) < REFUSAL_START_DEVIATIONS;
-            if now < aim_at && (free || self.retry_tokens >= 1.0) && self.send_attempt(now, id, false, out) {
+            let may_retry = now < target_at && (free || self.retry_tokens >= 1.0);
+            if may_retry && self.send_attempt(now, id, false, actions) {
                 self.retry_tokens -= if free { 0.0 } else { 1.0 };
             } else {
-                self.finish(now, id, out);
+                self.finish(now, id, actions);
             }
         }
-        self.dispatch(now, out);
+        self.dispatch(now, actions);
     }
 }
--- a/crates/decide/src/policy/backoff.rs
+++ b/crates/decide/src/policy/backoff.rs
@@ -1,15 +1,21 @@
-//! How long to wait before a shared service is called again.
+//! Delays between calls to a shared service.
 
 use fastrand::Rng;
 
 use crate::interface::Nanos;
 
-const MAX_WAIT: Nanos = 2_000_000_000; // news counts as told 6 s on, and a call takes up to 3 s
-const FIRST_SHARE: Nanos = 8; // of the interval: the longest wait before the first call
-const BASE_SHARE: Nanos = 16; // of the interval: the shortest of the longest waits
+/// Longest delay: a node has to know a change after 6 s, and a call takes up to 3 s.
+const MAX_WAIT: Nanos = 2_000_000_000;
+
+/// Part of the interval that is the longest delay before the first call.
+const FIRST_SHARE: Nanos = 8;
+
+/// Part of the interval that is the longest delay before the first doubling.
+const BASE_SHARE: Nanos = 16;
+
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Waits between calls: longer after each failure in a row, and never in step with those of other callers.
+/// Exponential backoff with jitter, so that the calls of different nodes are not synchronized.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     interval: Nanos,
@@ -17,24 +23,24 @@
 }
 
 impl Backoff {
-    /// For a service that has to be called once in this interval.
+    /// Creates a backoff for a service that must be called once per `interval`.
     pub fn new(interval: Nanos) -> Self {
         Backoff { interval, failures: 0 }
     }
 
-    /// The wait before the first call.
+    /// Returns the delay before the first call.
     pub fn initial_wait(&self, rng: &mut Rng) -> Nanos {
         rng.u64(0..=(self.interval / FIRST_SHARE).min(MAX_WAIT))
     }
 
-    /// The wait after one more failure in a row.
+    /// Records a failed call and returns the delay before the next one.
     pub fn record_failure(&mut self, rng: &mut Rng) -> Nanos {
         self.failures = self.failures.saturating_add(1);
         let longest = ((self.interval / BASE_SHARE) << self.failures.min(MAX_DOUBLINGS)).min(MAX_WAIT);
         longest / 2 + rng.u64(0..=longest / 2)
     }
 
-    /// A call was answered.
+    /// Records a successful call, which ends a series of failures.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
--- a/crates/decide/src/policy/constants.rs
+++ b/crates/decide/src/policy/constants.rs
@@ -108,6 +108,9 @@
 /// window may have been saved up, and the server's capacity grows meanwhile.
 pub const SLOW_START_MARGIN: f64 = 0.45;
 
+/// Least recommended delay before a client's retry.
+pub const MIN_RETRY_AFTER: Nanos = 1_000_000;
+
 /// Numbers of own attempts in flight at a server whose latencies are recorded separately.
 pub const TRACKED_DEPTHS: usize = 8;
 
