--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What a decision costs, by the number of servers: `cargo bench -p merlinfold-decide`.
+//! Time per decision by the number of servers: `cargo bench -p merlinfold-decide --bench decision`.
 
 use std::hint::black_box;
 
@@ -8,18 +8,18 @@
 
 const MS: Nanos = 1_000_000;
 const SIZES: [u32; 4] = [16, 256, 4_096, 16_384];
-const REQUESTS_A_SECOND: u64 = 1_000;
+const REQUESTS_PER_SECOND: u64 = 1_000;
 
 fn entry(n: u32) -> ServerEntry {
     let tag = u64::from(n).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     ServerEntry { id: ServerId(n), name_hash: tag, weight: 1.0, ..ServerEntry::default() }
 }
 
-/// A node that knows so many servers and has served for a while.
+/// A node with its own clock, after a warm-up of 2000 requests.
 struct Node {
     balancer: Balancer,
     now: Nanos,
-    next: u64,
+    next_id: u64,
     actions: Vec<Action>,
 }
 
@@ -47,25 +47,25 @@
             ..Settings::default()
         };
         let (balancer, now) = (Balancer::new(settings, 7), 100_000 * MS);
-        let mut node = Node { balancer, now, next: 0, actions: Vec::new() };
+        let mut node = Node { balancer, now, next_id: 0, actions: Vec::new() };
         let entries = (0..servers).map(entry).collect();
-        node.give(Event::Servers { kind: ListKind::Persisted, entries });
+        node.handle(Event::Servers { kind: ListKind::Persisted, entries });
         for _ in 0..2_000 {
             node.request();
         }
         node
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    /// A request that is sent on and served.
+    /// Processes a request and, if it was sent to a server, its successful outcome.
     fn request(&mut self) {
-        self.now += 1_000 * MS / REQUESTS_A_SECOND;
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.now += 1_000 * MS / REQUESTS_PER_SECOND;
+        self.next_id += 1;
+        let id = RequestId(self.next_id);
         let request = Request {
             id,
             class: 0,
@@ -76,7 +76,7 @@
             is_retry: false,
             streams_body: false,
         };
-        self.give(Event::Request(request));
+        self.handle(Event::Request(request));
         let sent = self.actions.iter().find_map(|action| match action {
             Action::Send { server, .. } => Some(*server),
             _ => None,
@@ -85,7 +85,7 @@
             let (status, latency) = (Status::Ok, 5 * MS);
             let outcome =
                 Event::Outcome { id, attempt: 0, server, status, latency, terminal: true, report: None };
-            self.give(outcome);
+            self.handle(outcome);
         }
     }
 }
@@ -109,7 +109,7 @@
         group.bench_function(BenchmarkId::from_parameter(servers), |b| {
             b.iter(|| {
                 node.now += 50 * MS;
-                node.give(Event::Timer(0));
+                node.handle(Event::Timer(0));
             })
         });
     }
@@ -124,7 +124,7 @@
                 draining = !draining;
                 let readiness = if draining { Readiness::Draining } else { Readiness::Ready };
                 let entries = vec![ServerEntry { readiness, ..entry(3) }];
-                node.give(Event::Servers { kind: ListKind::Partial, entries: black_box(entries) });
+                node.handle(Event::Servers { kind: ListKind::Partial, entries: black_box(entries) });
             })
         });
     }
--- a/crates/decide/benches/memory.rs
+++ b/crates/decide/benches/memory.rs
@@ -1,18 +1,19 @@
-//! What a server costs in memory: `cargo bench -p merlinfold-decide --bench memory`. Linux only.
+//! Memory per server of the list: `cargo bench -p merlinfold-decide --bench memory`. Linux only.
 
 use std::fs;
 
 use merlinfold_decide::interface::*;
 use merlinfold_decide::policy::Balancer;
 
-const PAGE: u64 = 4_096; // bytes, of what the kernel counts by
+/// Page size in bytes, the unit of `/proc/self/statm`.
+const PAGE: u64 = 4_096;
 const NODES: usize = 16;
 const MS: Nanos = 1_000_000;
 
-/// Resident memory of this process, bytes; 0 where it is not told.
+/// Resident memory of this process in bytes; 0 if the kernel does not report it.
 fn resident() -> u64 {
-    let told = fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    told.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE
+    let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE
 }
 
 fn entry(n: u32) -> ServerEntry {
@@ -21,7 +22,8 @@
 }
 
 fn main() {
-    let mut all = Vec::new(); // kept: what one leaves behind would be counted as free for the next
+    // All nodes are kept: the next run would reuse freed memory, which would then not be counted.
+    let mut all = Vec::new();
     for (servers, classes) in [(4_096, 1), (16_384, 1), (16_384, 2), (16_384, 6)] {
         let class = Class {
             target_latency: 300 * MS,
@@ -31,18 +33,18 @@
             idempotency: Idempotency::Idempotent,
             placement: Placement::default(),
         };
-        let set = Settings { classes: vec![class; classes], node_count: 1, ..Settings::default() };
+        let settings = Settings { classes: vec![class; classes], node_count: 1, ..Settings::default() };
         let before = resident();
         let nodes: Vec<Balancer> = (0..NODES)
             .map(|seed| {
-                let mut node = Balancer::new(set.clone(), seed as u64);
+                let mut node = Balancer::new(settings.clone(), seed as u64);
                 let entries = (0..servers).map(entry).collect();
                 node.handle(MS, Event::Servers { kind: ListKind::Persisted, entries }, &mut Vec::new());
                 node
             })
             .collect();
-        let each = (resident() - before) / (NODES as u64 * u64::from(servers));
-        println!("{servers} servers, {classes} classes: {each} bytes a server");
+        let bytes = (resident() - before) / (NODES as u64 * u64::from(servers));
+        println!("{servers} servers, {classes} classes: {bytes} bytes a server");
         all.push(nodes);
     }
 }
--- a/crates/decide/src/ring.rs
+++ b/crates/decide/src/ring.rs
@@ -1,74 +1,88 @@
-//! Finds the server with the greatest age times slope in a part of a ring, without looking at every server.
+//! Finds the server with the highest score in a part of a ring without looking at every server.
 //!
-//! What a server is worth to a class grows with each of the node's own sends: a line over the number of
-//! sends, with a slope of its own and zero where it was last used. Which of two lines is higher changes at
-//! most once, and the send at which it does can be reckoned ahead. So a tournament over all servers stays
-//! valid until the first of its matches turns (a kinetic tournament tree: Basch, Guibas and Hershberger,
-//! "Data structures for mobile data", SODA 1997); a server that is used or changes its slope costs the
-//! matches on its own path. Matches are replayed only where a question needs them.
+//! The score of a server for a class grows with each of the node's own sends: it is a line over the number of
+//! sends, with the server's slope, that is zero where the server was last used. Which of two lines is higher
+//! changes at most once, and the number of sends at which it changes can be computed in advance. A tournament
+//! over all servers therefore stays valid until the first of its matches changes its winner (a kinetic
+//! tournament tree: Basch, Guibas and Hershberger, "Data structures for mobile data", SODA 1997). A server
+//! that is used or whose slope changes invalidates only the matches on its path to the root. Matches are
+//! replayed only where a query needs them.
 //!
-//! The tournament stands on a binary trie over the servers' tags, so that a server comes or goes without
-//! moving the others, and counts in every node give places on the ring and parts of it.
-//! Values are compared as integers: the answer is that of a scan over all servers, not one near it.
+//! The tournament is built on a binary trie over the servers' keys, so that a server is added or removed
+//! without moving others. Counts at every node allow queries by position on the ring. Scores are compared as
+//! integers, so the result is exactly that of a scan over all servers.
 
-/// A server's place in the ring: of use to the ring that gave it out until it is removed.
+use std::ops::Range;
+
+/// Handle of a server in the ring. It is valid for the ring that returned it until the server is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slot(u32);
 
-/// What a server is to one class.
+/// A server's data for one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Candidate {
-    /// Worth gained with each send since it was last used; 0: it cannot be chosen. Below 2^62.
+    /// Score gained with each send since the server was last used, below 2^62; 0: it cannot be selected.
     pub slope: u64,
-    /// The number of sends when it was last used.
+    /// Number of sends when the server was last used.
     pub last_send: i64,
-    /// Of two equal ones the one with the lesser tie is chosen.
+    /// Of two servers with equal scores the one with the lower value is selected.
     pub tie_break: u64,
-    /// It takes up a place in the part of the ring that is looked at, chosen or not.
+    /// Whether the server takes a place in the rotation, even if it cannot be selected.
     pub in_rotation: bool,
 }
 
 impl Candidate {
-    fn score(&self, at: i64) -> u128 {
-        u128::from(self.slope) * at.saturating_sub(self.last_send).max(0) as u128
+    fn score(&self, sends: i64) -> u128 {
+        u128::from(self.slope) * sends.saturating_sub(self.last_send).max(0) as u128
     }
 }
 
-/// Which servers a question is about: `own` places that count, from the server on place `start` on.
+/// The part of the ring that a query covers.
 #[derive(Clone, Copy, Debug)]
 pub struct Rotation {
-    /// Place of the first, counting all servers of the ring in order.
+    /// Position of the first server, counting all servers of the ring.
     pub start: usize,
-    /// How many places.
+    /// Number of servers, counting only those that are in rotation.
     pub size: usize,
-    /// Where none of them can be chosen: take the first beyond them that can.
+    /// If none of these can be selected: take the first server beyond them that can.
     pub extend: bool,
 }
 
 const NONE: u32 = u32::MAX;
-const LEAF: u32 = u32::MAX; // in place of the bit that an inner node tells apart
 
+/// Value of [`Node::bit`] in a leaf.
+const LEAF: u32 = u32::MAX;
+
+/// A node of the trie, and of the free list while it is not in use.
 struct Node {
-    key: u128,   // of a leaf; of an inner node that of one of its leaves
-    bit: u32,    // counted from the top
-    parent: u32, // of a free node: the next free one
+    /// Key of a leaf; of an inner node the key of one of its leaves.
+    key: u128,
+    /// The bit by which the children of an inner node differ, counted from the most significant one.
+    bit: u32,
+    /// Parent of a node in use; of a free node the next free one.
+    parent: u32,
     children: [u32; 2],
-    size: u32, // leaves below
+    /// Number of leaves in the subtree.
+    size: u32,
 }
 
-/// One class's standing match at a node: of a leaf its own line.
+/// The result of the match at a node for one class. At a leaf it is the server's own candidate.
 #[derive(Clone, Copy)]
 struct Match {
+    /// Candidate of the winner.
     candidate: Candidate,
-    winner: u32,      // a leaf, or none below can be chosen
-    in_rotation: u32, // places that count below
-    valid_until: i64, // the number of sends from which on it has to be replayed
+    /// Leaf of the winner; `NONE`: no server in the subtree can be selected.
+    winner: u32,
+    /// Number of servers in the subtree that are in rotation.
+    rotation_count: u32,
+    /// Number of sends from which on the match has to be replayed.
+    valid_until: i64,
 }
 
 const EMPTY_MATCH: Match = Match {
     candidate: Candidate { slope: 0, last_send: 0, tie_break: 0, in_rotation: false },
     winner: NONE,
-    in_rotation: 0,
+    rotation_count: 0,
     valid_until: i64::MAX,
 };
 
@@ -77,45 +91,43 @@
 pub struct Ring {
     classes: usize,
     nodes: Vec<Node>,
-    matches: Vec<Match>, // by node and class
+    /// Matches by node and class.
+    matches: Vec<Match>,
     root: Option<u32>,
+    /// First node of the free list.
     free: Option<u32>,
 }
 
-/// Key of a server: its tag and, where tags are equal, its number.
-pub fn key(tag: u64, id: u32) -> u128 {
-    u128::from(tag) << 32 | u128::from(id)
+/// Key of a server: its name hash, followed by its id in case two hashes are equal.
+pub fn key(name_hash: u64, id: u32) -> u128 {
+    u128::from(name_hash) << 32 | u128::from(id)
 }
 
+/// Index of the child that contains the key at an inner node for this bit.
 fn side(key: u128, bit: u32) -> usize {
     (key >> (127 - bit) & 1) as usize
 }
 
 impl Ring {
-    /// An empty ring for so many classes.
+    /// Creates an empty ring for this number of classes.
     pub fn new(classes: usize) -> Self {
         Ring { classes, ..Ring::default() }
     }
 
-    /// Servers in the ring.
+    /// Number of servers in the ring.
     pub fn len(&self) -> usize {
         self.root.map_or(0, |root| self.nodes[root as usize].size as usize)
     }
 
-    /// The number that the key of a server in the ring ends in.
+    /// Returns the id in a server's key.
     pub fn id(&self, slot: Slot) -> u32 {
         self.nodes[slot.0 as usize].key as u32
     }
 
-    /// What was set for a class.
-    pub fn candidate(&self, slot: Slot, class: usize) -> Candidate {
-        self.match_at(slot.0, class).candidate
-    }
-
-    /// What a server is worth to a class after so many sends; none if it cannot be chosen.
-    pub fn score(&self, slot: Slot, class: usize, at: i64) -> Option<u128> {
-        let line = self.candidate(slot, class);
-        (line.slope > 0).then(|| line.score(at))
+    /// Returns a server's score for a class after this number of sends; `None` if it cannot be selected.
+    pub fn score(&self, slot: Slot, class: usize, sends: i64) -> Option<u128> {
+        let candidate = self.match_at(slot.0, class).candidate;
+        (candidate.slope > 0).then(|| candidate.score(sends))
     }
 
     fn match_at(&self, node: u32, class: usize) -> &Match {
@@ -128,12 +140,12 @@
 
     fn allocate(&mut self, node: Node) -> u32 {
         match self.free {
-            Some(slot) => {
-                let next = self.nodes[slot as usize].parent;
+            Some(index) => {
+                let next = self.nodes[index as usize].parent;
                 self.free = Some(next).filter(|&n| n != NONE);
-                self.nodes[slot as usize] = node;
-                (0..self.classes).for_each(|class| *self.match_at_mut(slot, class) = EMPTY_MATCH);
-                slot
+                self.nodes[index as usize] = node;
+                (0..self.classes).for_each(|class| *self.match_at_mut(index, class) = EMPTY_MATCH);
+                index
             }
             None => {
                 self.nodes.push(node);
@@ -143,12 +155,16 @@
         }
     }
 
-    fn release(&mut self, slot: u32) {
-        self.nodes[slot as usize].parent = self.free.unwrap_or(NONE);
-        self.free = Some(slot);
+    fn release(&mut self, index: u32) {
+        self.nodes[index as usize].parent = self.free.unwrap_or(NONE);
+        self.free = Some(index);
     }
 
-    /// Takes a server in; it counts for no class until its lines are set. The key must not be in the ring.
+    /// Adds a server. It is in rotation for no class until [`Ring::set`] is called.
+    ///
+    /// # Panics
+    ///
+    /// If the key is already in the ring.
     pub fn insert(&mut self, key: u128) -> Slot {
         let leaf = Node { key, bit: LEAF, parent: NONE, children: [NONE; 2], size: 1 };
         let leaf = self.allocate(leaf);
@@ -156,12 +172,12 @@
             self.root = Some(leaf);
             return Slot(leaf);
         };
-        let mut near = root;
-        while self.nodes[near as usize].bit != LEAF {
-            near = self.nodes[near as usize].children[side(key, self.nodes[near as usize].bit)];
+        let mut nearest = root;
+        while self.nodes[nearest as usize].bit != LEAF {
+            nearest = self.nodes[nearest as usize].children[side(key, self.nodes[nearest as usize].bit)];
         }
-        let bit = (key ^ self.nodes[near as usize].key).leading_zeros();
-        assert!(bit < 128, "a key comes into the ring once");
+        let bit = (key ^ self.nodes[nearest as usize].key).leading_zeros();
+        assert!(bit < 128, "the key is already in the ring");
         let (mut above, mut below) = (NONE, root);
         while self.nodes[below as usize].bit < bit {
             self.nodes[below as usize].size += 1;
@@ -173,28 +189,27 @@
         children[side(key, bit)] = leaf;
         let inner = self.allocate(Node { key, bit, parent: above, children, size });
         for class in 0..self.classes {
-            let counts = self.match_at(below, class).in_rotation;
-            *self.match_at_mut(inner, class) =
-                Match { in_rotation: counts, valid_until: i64::MIN, ..EMPTY_MATCH };
+            let rotation_count = self.match_at(below, class).rotation_count;
+            *self.match_at_mut(inner, class) = Match { rotation_count, valid_until: i64::MIN, ..EMPTY_MATCH };
         }
         (self.nodes[below as usize].parent, self.nodes[leaf as usize].parent) = (inner, inner);
         self.replace_child(above, below, inner);
-        // The new node has to be replayed, and with it all above.
+        // The match at the new inner node has to be played, and with it all matches above.
         (0..self.classes).for_each(|class| self.invalidate(above, class, 0));
         Slot(leaf)
     }
 
-    fn replace_child(&mut self, parent: u32, child: u32, by: u32) {
+    fn replace_child(&mut self, parent: u32, old: u32, new: u32) {
         match parent {
-            NONE => self.root = Some(by),
+            NONE => self.root = Some(new),
             parent => {
                 let children = &mut self.nodes[parent as usize].children;
-                children[usize::from(children[1] == child)] = by;
+                children[usize::from(children[1] == old)] = new;
             }
         }
     }
 
-    /// Takes a server out.
+    /// Removes a server.
     pub fn remove(&mut self, Slot(leaf): Slot) {
         (0..self.classes).for_each(|class| self.set(Slot(leaf), class, Candidate::default()));
         let inner = self.nodes[leaf as usize].parent;
@@ -204,10 +219,10 @@
             return;
         }
         let children = self.nodes[inner as usize].children;
-        let other = children[usize::from(children[0] == leaf)];
+        let sibling = children[usize::from(children[0] == leaf)];
         let above = self.nodes[inner as usize].parent;
-        self.nodes[other as usize].parent = above;
-        self.replace_child(above, inner, other);
+        self.nodes[sibling as usize].parent = above;
+        self.replace_child(above, inner, sibling);
         self.release(inner);
         let mut node = above;
         while node != NONE {
@@ -216,186 +231,182 @@
         }
     }
 
-    /// States what a server is to a class.
-    pub fn set(&mut self, Slot(leaf): Slot, class: usize, line: Candidate) {
-        let own = self.match_at_mut(leaf, class);
-        if own.candidate == line {
+    /// Sets a server's data for a class.
+    pub fn set(&mut self, Slot(leaf): Slot, class: usize, candidate: Candidate) {
+        let entry = self.match_at_mut(leaf, class);
+        if entry.candidate == candidate {
             return;
         }
-        let change = i32::from(line.in_rotation) - i32::from(own.candidate.in_rotation);
-        own.candidate = line;
-        own.winner = if line.slope > 0 { leaf } else { NONE };
-        own.in_rotation = u32::from(line.in_rotation);
+        let change = i32::from(candidate.in_rotation) - i32::from(entry.candidate.in_rotation);
+        entry.candidate = candidate;
+        entry.winner = if candidate.slope > 0 { leaf } else { NONE };
+        entry.rotation_count = u32::from(candidate.in_rotation);
         self.invalidate(self.nodes[leaf as usize].parent, class, change);
     }
 
-    /// The matches from a node upwards have to be replayed, and their counts change.
+    /// Invalidates the matches from a node up to the root and adds `change` to their rotation counts.
     fn invalidate(&mut self, mut node: u32, class: usize, change: i32) {
         while node != NONE {
-            let own = self.match_at_mut(node, class);
-            // What is above one that has to be replayed has to be replayed already.
-            if change == 0 && own.valid_until == i64::MIN {
+            let entry = self.match_at_mut(node, class);
+            // All matches above an invalid one are invalid already.
+            if change == 0 && entry.valid_until == i64::MIN {
                 return;
             }
-            own.valid_until = i64::MIN;
-            own.in_rotation = own.in_rotation.wrapping_add_signed(change);
+            entry.valid_until = i64::MIN;
+            entry.rotation_count = entry.rotation_count.wrapping_add_signed(change);
             node = self.nodes[node as usize].parent;
         }
     }
 
-    /// Replays what may have turned by the time of so many sends.
-    fn replay(&mut self, node: u32, class: usize, at: i64) {
-        if self.match_at(node, class).valid_until > at {
+    /// Replays the matches in a subtree that are not valid for this number of sends.
+    fn replay(&mut self, node: u32, class: usize, sends: i64) {
+        if self.match_at(node, class).valid_until > sends {
             return;
         }
         let [left, right] = self.nodes[node as usize].children;
-        self.replay(left, class, at);
-        self.replay(right, class, at);
-        let (one, two) = (self.match_at(left, class), self.match_at(right, class));
-        let (won, lost) = if beats(two, one, at) { (two, one) } else { (one, two) };
-        let until = one.valid_until.min(two.valid_until).min(next_overtake(won, lost, at));
-        let (line, winner) = (won.candidate, won.winner);
-        let own = self.match_at_mut(node, class);
-        (own.candidate, own.winner, own.valid_until) = (line, winner, until);
+        self.replay(left, class, sends);
+        self.replay(right, class, sends);
+        let (left, right) = (self.match_at(left, class), self.match_at(right, class));
+        let (won, lost) = if beats(right, left, sends) { (right, left) } else { (left, right) };
+        let valid_until = left.valid_until.min(right.valid_until).min(next_overtake(won, lost, sends));
+        let (candidate, winner) = (won.candidate, won.winner);
+        let entry = self.match_at_mut(node, class);
+        (entry.candidate, entry.winner, entry.valid_until) = (candidate, winner, valid_until);
     }
 
-    /// The server of the part that is worth most to the class after so many sends, among those admitted.
-    /// Sends only ever grow from one question to the next.
+    /// Returns the server with the highest score for the class in this part of the ring, among those whose
+    /// ids are allowed. The number of sends must not decrease from one query to the next.
     pub fn best(
-        &mut self, class: usize, at: i64, part: Rotation, admit: &dyn Fn(u32) -> bool,
+        &mut self, class: usize, sends: i64, rotation: Rotation, is_allowed: &dyn Fn(u32) -> bool,
     ) -> Option<Slot> {
         let root = self.root?;
-        let all = self.match_at(root, class).in_rotation as usize;
-        if all == 0 {
+        let total = self.match_at(root, class).rotation_count as usize;
+        if total == 0 {
             return None;
         }
-        let first = self.rotation_count_before(class, part.start) % all;
-        let own = part.size.min(all);
-        let wrapped = (first + own).saturating_sub(all);
-        let here = self.best_within(root, class, at, first..first + own - wrapped, admit);
-        let there = self.best_within(root, class, at, 0..wrapped, admit);
-        let best = match (here, there) {
-            (Some(one), Some(two)) if beats(self.match_at(two, class), self.match_at(one, class), at) => {
-                Some(two)
-            }
-            (one, two) => one.or(two),
-        };
-        if best.is_some() || !part.extend {
+        let first = self.rotation_count_before(class, rotation.start) % total;
+        let size = rotation.size.min(total);
+        let wrapped = (first + size).saturating_sub(total);
+        let tail = self.best_within(root, class, sends, first..first + size - wrapped, is_allowed);
+        let head = self.best_within(root, class, sends, 0..wrapped, is_allowed);
+        let best = self.better(tail, head, class, sends);
+        if best.is_some() || !rotation.extend {
             return best.map(Slot);
         }
-        let next = first + own;
-        let beyond = self.first_eligible(root, class, at, next..all, admit);
-        let beyond = beyond.or_else(|| self.first_eligible(root, class, at, wrapped..first, admit));
+        let beyond = self.first_eligible(root, class, sends, first + size..total, is_allowed);
+        let beyond = beyond.or_else(|| self.first_eligible(root, class, sends, wrapped..first, is_allowed));
         beyond.map(Slot)
     }
 
-    /// Places that count before this one.
-    fn rotation_count_before(&self, class: usize, place: usize) -> usize {
-        let (Some(mut node), mut place, mut counted) = (self.root, place, 0) else { return 0 };
-        if place >= self.nodes[node as usize].size as usize {
-            return self.match_at(node, class).in_rotation as usize;
+    /// Number of servers in rotation before a position on the ring.
+    fn rotation_count_before(&self, class: usize, position: usize) -> usize {
+        let (Some(mut node), mut position, mut count) = (self.root, position, 0) else { return 0 };
+        if position >= self.nodes[node as usize].size as usize {
+            return self.match_at(node, class).rotation_count as usize;
         }
         while self.nodes[node as usize].bit != LEAF {
             let [left, right] = self.nodes[node as usize].children;
             let size = self.nodes[left as usize].size as usize;
-            node = if place < size { left } else { right };
-            if place >= size {
-                place -= size;
-                counted += self.match_at(left, class).in_rotation as usize;
+            node = if position < size { left } else { right };
+            if position >= size {
+                position -= size;
+                count += self.match_at(left, class).rotation_count as usize;
             }
         }
-        counted
+        count
     }
 
-    /// `places`: those that count below this node, from the first on.
+    /// Returns the best server in a part of a subtree. `range` counts the servers that are in rotation.
     fn best_within(
-        &mut self, node: u32, class: usize, at: i64, places: std::ops::Range<usize>,
-        admit: &dyn Fn(u32) -> bool,
+        &mut self, node: u32, class: usize, sends: i64, range: Range<usize>, is_allowed: &dyn Fn(u32) -> bool,
     ) -> Option<u32> {
-        if places.is_empty() {
+        if range.is_empty() {
             return None;
         }
-        if places.start == 0 && places.end >= self.match_at(node, class).in_rotation as usize {
-            return self.best_of(node, class, at, admit);
+        if range.start == 0 && range.end >= self.match_at(node, class).rotation_count as usize {
+            return self.best_of(node, class, sends, is_allowed);
         }
         let [left, right] = self.nodes[node as usize].children;
-        let size = self.match_at(left, class).in_rotation as usize;
-        let (left_part, right_part) = split(places, size);
-        let one = self.best_within(left, class, at, left_part, admit);
-        let two = self.best_within(right, class, at, right_part, admit);
-        self.better(one, two, class, at)
+        let (left_range, right_range) = split(range, self.match_at(left, class).rotation_count as usize);
+        let left = self.best_within(left, class, sends, left_range, is_allowed);
+        let right = self.best_within(right, class, sends, right_range, is_allowed);
+        self.better(left, right, class, sends)
     }
 
-    fn best_of(&mut self, node: u32, class: usize, at: i64, admit: &dyn Fn(u32) -> bool) -> Option<u32> {
-        self.replay(node, class, at);
+    /// Returns the best server in a subtree.
+    fn best_of(
+        &mut self, node: u32, class: usize, sends: i64, is_allowed: &dyn Fn(u32) -> bool,
+    ) -> Option<u32> {
+        self.replay(node, class, sends);
         let winner = self.match_at(node, class).winner;
         if winner == NONE {
             return None;
         }
-        if admit(self.nodes[winner as usize].key as u32) {
+        if is_allowed(self.nodes[winner as usize].key as u32) {
             return Some(winner);
         }
         if self.nodes[node as usize].bit == LEAF {
             return None;
         }
         let [left, right] = self.nodes[node as usize].children;
-        let one = self.best_of(left, class, at, admit);
-        let two = self.best_of(right, class, at, admit);
-        self.better(one, two, class, at)
+        let left = self.best_of(left, class, sends, is_allowed);
+        let right = self.best_of(right, class, sends, is_allowed);
+        self.better(left, right, class, sends)
     }
 
-    fn better(&self, one: Option<u32>, two: Option<u32>, class: usize, at: i64) -> Option<u32> {
-        match (one, two) {
-            (Some(a), Some(b)) if beats(self.match_at(b, class), self.match_at(a, class), at) => two,
-            _ => one.or(two),
+    /// Returns the better of two leaves; the first one if neither is better.
+    fn better(&self, first: Option<u32>, second: Option<u32>, class: usize, sends: i64) -> Option<u32> {
+        match (first, second) {
+            (Some(a), Some(b)) if beats(self.match_at(b, class), self.match_at(a, class), sends) => second,
+            _ => first.or(second),
         }
     }
 
-    /// The first in the order of the ring that can be chosen.
+    /// Returns the first server in a part of a subtree that can be selected, in the order of the ring.
     fn first_eligible(
-        &mut self, node: u32, class: usize, at: i64, places: std::ops::Range<usize>,
-        admit: &dyn Fn(u32) -> bool,
+        &mut self, node: u32, class: usize, sends: i64, range: Range<usize>, is_allowed: &dyn Fn(u32) -> bool,
     ) -> Option<u32> {
-        if places.is_empty() {
+        if range.is_empty() {
             return None;
         }
-        self.replay(node, class, at);
+        self.replay(node, class, sends);
         if self.match_at(node, class).winner == NONE {
             return None;
         }
         if self.nodes[node as usize].bit == LEAF {
-            return Some(node).filter(|_| admit(self.nodes[node as usize].key as u32));
+            return Some(node).filter(|_| is_allowed(self.nodes[node as usize].key as u32));
         }
         let [left, right] = self.nodes[node as usize].children;
-        let size = self.match_at(left, class).in_rotation as usize;
-        let (left_part, right_part) = split(places, size);
-        let left = self.first_eligible(left, class, at, left_part, admit);
-        left.or_else(|| self.first_eligible(right, class, at, right_part, admit))
+        let (left_range, right_range) = split(range, self.match_at(left, class).rotation_count as usize);
+        let first = self.first_eligible(left, class, sends, left_range, is_allowed);
+        first.or_else(|| self.first_eligible(right, class, sends, right_range, is_allowed))
     }
 }
 
-fn split(places: std::ops::Range<usize>, size: usize) -> (std::ops::Range<usize>, std::ops::Range<usize>) {
-    let right = places.start.saturating_sub(size)..places.end.saturating_sub(size);
-    (places.start.min(size)..places.end.min(size), right)
+/// Splits a range between two subtrees, of which the left one contains `left_count` servers.
+fn split(range: Range<usize>, left_count: usize) -> (Range<usize>, Range<usize>) {
+    let right = range.start.saturating_sub(left_count)..range.end.saturating_sub(left_count);
+    (range.start.min(left_count)..range.end.min(left_count), right)
 }
 
-fn beats(one: &Match, other: &Match, at: i64) -> bool {
+fn beats(one: &Match, other: &Match, sends: i64) -> bool {
     if one.winner == NONE || other.winner == NONE {
         return one.winner != NONE;
     }
-    let (a, b) = (one.candidate.score(at), other.candidate.score(at));
+    let (a, b) = (one.candidate.score(sends), other.candidate.score(sends));
     a > b || a == b && one.candidate.tie_break < other.candidate.tie_break
 }
 
-/// A number of sends before which the loser of a match stays so: the match itself or sooner, never later.
-fn next_overtake(won: &Match, lost: &Match, at: i64) -> i64 {
+/// Lower bound on the number of sends at which the loser of a match overtakes the winner.
+fn next_overtake(won: &Match, lost: &Match, sends: i64) -> i64 {
     if won.winner == NONE || lost.winner == NONE || lost.candidate.slope <= won.candidate.slope {
         return i64::MAX;
     }
-    let gap = won.candidate.score(at) - lost.candidate.score(at);
-    // Rounded down by more than the error of the two conversions: replayed early, it is only replayed again.
+    let gap = won.candidate.score(sends) - lost.candidate.score(sends);
+    // Rounded down by more than the error of the two conversions. A match that is replayed too early is only
+    // played once more.
     let steps = gap as f64 / (lost.candidate.slope - won.candidate.slope) as f64 * (1.0 - 1e-12);
-    at.saturating_add((steps as i64).max(1))
+    sends.saturating_add((steps as i64).max(1))
 }
 
 #[cfg(test)]
@@ -406,23 +417,25 @@
 
     use super::*;
 
-    /// The question answered by looking at every server in turn.
+    /// Reference implementation of [`Ring::best`] that looks at every server in turn.
     fn scan(
-        servers: &BTreeMap<u128, Candidate>, at: i64, part: Rotation, admit: &dyn Fn(u32) -> bool,
+        servers: &BTreeMap<u128, Candidate>, sends: i64, rotation: Rotation, is_allowed: &dyn Fn(u32) -> bool,
     ) -> Option<u32> {
-        let order: Vec<_> = servers.iter().skip(part.start).chain(servers.iter().take(part.start)).collect();
-        let mut left = part.size;
+        let from_start = servers.iter().skip(rotation.start);
+        let order: Vec<_> = from_start.chain(servers.iter().take(rotation.start)).collect();
+        let mut remaining = rotation.size;
         let mut best: Option<(u128, u64, u32)> = None;
-        for (&key, line) in order.into_iter().filter(|(_, line)| line.in_rotation) {
-            if left == 0 && (best.is_some() || !part.extend) {
+        for (&key, candidate) in order.into_iter().filter(|(_, candidate)| candidate.in_rotation) {
+            if remaining == 0 && (best.is_some() || !rotation.extend) {
                 break;
             }
-            left = left.saturating_sub(1);
-            let value = line.score(at);
-            let better =
-                best.is_none_or(|(most, tie, _)| value > most || value == most && line.tie_break < tie);
-            if line.slope > 0 && admit(key as u32) && better {
-                best = Some((value, line.tie_break, key as u32));
+            remaining = remaining.saturating_sub(1);
+            let score = candidate.score(sends);
+            let better = best.is_none_or(|(highest, tie_break, _)| {
+                score > highest || score == highest && candidate.tie_break < tie_break
+            });
+            if candidate.slope > 0 && is_allowed(key as u32) && better {
+                best = Some((score, candidate.tie_break, key as u32));
             }
         }
         best.map(|(_, _, id)| id)
@@ -434,20 +447,20 @@
         Remove(usize),
         Set(usize, u64, bool),
         Use(usize),
-        Ask { start: usize, own: usize, beyond: bool, without: u32, sends: i64 },
+        Query { start: usize, size: usize, extend: bool, excluded: u32, sends: i64 },
     }
 
     fn step() -> impl Strategy<Value = Step> {
         let slope = prop_oneof![Just(0u64), 1u64..4, 1u64 << 39..1 << 41, Just((1 << 62) - 1)];
-        let own = prop_oneof![3 => 0usize..40, 1 => Just(usize::MAX)];
-        let tag = prop_oneof![0u64..64, any::<u64>()];
+        let size = prop_oneof![3 => 0usize..40, 1 => Just(usize::MAX)];
+        let name_hash = prop_oneof![0u64..64, any::<u64>()];
         prop_oneof![
-            3 => tag.prop_map(Step::Insert),
+            3 => name_hash.prop_map(Step::Insert),
             1 => any::<usize>().prop_map(Step::Remove),
-            4 => (any::<usize>(), slope, prop::bool::weighted(0.9)).prop_map(|(n, s, c)| Step::Set(n, s, c)),
+            4 => (any::<usize>(), slope, prop::bool::weighted(0.9)).prop_map(|(n, s, r)| Step::Set(n, s, r)),
             3 => any::<usize>().prop_map(Step::Use),
-            6 => (0usize..50, own, any::<bool>(), 0u32..40, 0i64..20).prop_map(
-                |(start, own, beyond, without, sends)| Step::Ask { start, own, beyond, without, sends }
+            6 => (0usize..50, size, any::<bool>(), 0u32..40, 0i64..20).prop_map(
+                |(start, size, extend, excluded, sends)| Step::Query { start, size, extend, excluded, sends }
             ),
         ]
     }
@@ -456,54 +469,55 @@
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
         #[test]
-        fn the_answer_is_that_of_a_scan_over_all_servers(steps in prop::collection::vec(step(), 1..400)) {
+        fn best_returns_the_same_server_as_a_scan(steps in prop::collection::vec(step(), 1..400)) {
             let mut ring = Ring::new(2);
             let mut model = BTreeMap::new();
             let mut slots = BTreeMap::new();
-            let (mut next, mut at) = (0u32, 1_000i64);
+            let (mut next_id, mut sends) = (0u32, 1_000i64);
             for step in steps {
                 let nth = |n: usize| slots.iter().nth(n % slots.len().max(1)).map(|(&k, &s)| (k, s));
                 match step {
-                    Step::Insert(tag) => {
-                        let key = key(tag, next);
-                        // Ties may be equal only where servers were never told apart: here all differ.
-                        let tie = u64::from(next).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-                        next += 1;
+                    Step::Insert(name_hash) => {
+                        let key = key(name_hash, next_id);
+                        // Distinct for every server, so that the order of equal scores is defined.
+                        let tie_break = u64::from(next_id).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+                        next_id += 1;
                         let slot = ring.insert(key);
                         prop_assert_eq!(ring.id(slot), key as u32);
-                        let last_send = at - (tie % 50) as i64;
-                        let line = Candidate { slope: 1 << 40, last_send, tie_break: tie, in_rotation: true };
-                        ring.set(slot, 1, line);
+                        let last_send = sends - (tie_break % 50) as i64;
+                        let candidate = Candidate { slope: 1 << 40, last_send, tie_break, in_rotation: true };
+                        ring.set(slot, 1, candidate);
                         slots.insert(key, slot);
-                        model.insert(key, line);
+                        model.insert(key, candidate);
                     }
                     Step::Remove(n) => if let Some((key, slot)) = nth(n) {
                         ring.remove(slot);
                         slots.remove(&key);
                         model.remove(&key);
                     },
-                    Step::Set(n, slope, counts) => if let Some((key, slot)) = nth(n) {
-                        let line = model.get_mut(&key).expect("it is in both");
-                        (line.slope, line.in_rotation) = (if counts { slope } else { 0 }, counts);
-                        ring.set(slot, 1, *line);
+                    Step::Set(n, slope, in_rotation) => if let Some((key, slot)) = nth(n) {
+                        let candidate = model.get_mut(&key).expect("the key is in both maps");
+                        candidate.slope = if in_rotation { slope } else { 0 };
+                        candidate.in_rotation = in_rotation;
+                        ring.set(slot, 1, *candidate);
                     },
                     Step::Use(n) => if let Some((key, slot)) = nth(n) {
-                        let line = model.get_mut(&key).expect("it is in both");
-                        line.last_send = at;
-                        at += 1;
-                        ring.set(slot, 1, *line);
+                        let candidate = model.get_mut(&key).expect("the key is in both maps");
+                        candidate.last_send = sends;
+                        sends += 1;
+                        ring.set(slot, 1, *candidate);
                     },
-                    Step::Ask { start, own, beyond, without, sends } => {
-                        at += sends;
-                        let part = Rotation { start: start % ring.len().max(1), size: own, extend: beyond };
-                        let admit = |id: u32| id % 40 != without;
-                        let found = ring.best(1, at, part, &admit).map(|slot| ring.id(slot));
-                        prop_assert_eq!(found, scan(&model, at, part, &admit));
-                        prop_assert_eq!(ring.best(0, at, part, &admit), None);
+                    Step::Query { start, size, extend, excluded, sends: more } => {
+                        sends += more;
+                        let rotation = Rotation { start: start % ring.len().max(1), size, extend };
+                        let is_allowed = |id: u32| id % 40 != excluded;
+                        let found = ring.best(1, sends, rotation, &is_allowed).map(|slot| ring.id(slot));
+                        prop_assert_eq!(found, scan(&model, sends, rotation, &is_allowed));
+                        prop_assert_eq!(ring.best(0, sends, rotation, &is_allowed), None);
                     }
                 }
                 prop_assert_eq!(ring.len(), model.len());
-                prop_assert!(ring.nodes.len() <= 2 * next as usize);
+                prop_assert!(ring.nodes.len() <= 2 * next_id as usize);
             }
         }
     }
