--- a/crates/distribution/src/config.rs
+++ b/crates/distribution/src/config.rs
@@ -66,11 +66,11 @@
     /// Applies content that is staged and not yet committed.
     AppliesUncommitted,
     /// Applies a document of which not all pieces have come.
-    AppliesHalf,
+    AppliesIncomplete,
     /// Applies whatever the log shows, also when it is lower.
-    TakesLower,
+    AppliesLower,
     /// Does not compare digests.
     SkipsVerification,
     /// Counts a node that is not heard of as having applied.
-    SilenceIsApplied,
+    CountsSilentAsApplied,
 }
--- a/crates/distribution/src/fetch.rs
+++ b/crates/distribution/src/fetch.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use crate::bounds::{
-    ANSWER_WITHIN, MAX_PIECES_PULLED, PIECE_AGAIN_MIN, PIECE_BYTES, PIECE_TIMES, PROGRESS_WITHIN, WINDOW,
+    ANSWER_TIMEOUT, MAX_PIECES_PULLED, MIN_PIECE_TIMEOUT, PIECE_BYTES, PIECE_TIMEOUT_FACTOR, PIECE_WINDOW,
+    PROGRESS_TIMEOUT,
 };
 use crate::config::{Name, Nanos};
 use crate::wire::Transfer;
@@ -91,13 +92,13 @@
     }
 
     fn patience(&self) -> Nanos {
-        let usual = self.usual.map_or(ANSWER_WITHIN, |usual| usual * PIECE_TIMES);
-        usual.clamp(PIECE_AGAIN_MIN, ANSWER_WITHIN)
+        let usual = self.usual.map_or(ANSWER_TIMEOUT, |usual| usual * PIECE_TIMEOUT_FACTOR);
+        usual.clamp(MIN_PIECE_TIMEOUT, ANSWER_TIMEOUT)
     }
 
     /// Numbers of the pieces to ask for now, `budget` at most: those that were not answered, then further ones.
     pub fn pull(&mut self, now: Nanos, budget: usize) -> Vec<u16> {
-        let room = WINDOW.saturating_sub(self.asked.len());
+        let room = PIECE_WINDOW.saturating_sub(self.asked.len());
         let late = self.asked.iter().filter(|(_, asked)| asked.again <= now).map(|(number, _)| *number);
         let mut pieces: Vec<u16> = late.take(MAX_PIECES_PULLED.min(budget)).collect();
         let limit = (pieces.len() + room).min(MAX_PIECES_PULLED).min(budget);
@@ -121,12 +122,12 @@
 
     /// Whether the other has sent nothing new for too long.
     pub fn is_stuck(&self, now: Nanos) -> bool {
-        now >= self.progress + PROGRESS_WITHIN
+        now >= self.progress + PROGRESS_TIMEOUT
     }
 
     /// When it next wants a look.
     pub fn due(&self) -> Nanos {
         let again = self.asked.values().map(|asked| asked.again).min().unwrap_or(self.progress);
-        again.min(self.progress + PROGRESS_WITHIN)
+        again.min(self.progress + PROGRESS_TIMEOUT)
     }
 }
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::bounds::{MAX_CONTENT, MAX_HISTORY, MAX_HISTORY_BYTES, MAX_SNAPSHOTS};
+use crate::bounds::{MAX_CONTENT_BYTES, MAX_HISTORY_BYTES, MAX_HISTORY_DELTAS, MAX_SNAPSHOTS};
 use crate::content::Delta;
 use crate::revision::{Announcement, Digest, RevisionId};
 
@@ -39,7 +39,7 @@
             }
             base = result;
         }
-        while self.links.len() > MAX_HISTORY || self.bytes > MAX_HISTORY_BYTES {
+        while self.links.len() > MAX_HISTORY_DELTAS || self.bytes > MAX_HISTORY_BYTES {
             let Some((_, oldest)) = self.links.pop_front() else { break };
             self.bytes -= oldest.delta.bytes.len();
         }
@@ -77,7 +77,7 @@
             }
             if link.result == wanted {
                 bytes += link.delta.bytes.len();
-                if bytes > limit.min(MAX_CONTENT) {
+                if bytes > limit.min(MAX_CONTENT_BYTES) {
                     return None;
                 }
                 wanted = *base;
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -24,9 +24,11 @@
 pub use config::{Defect, Identity, Name, Nanos, Peer, Tuning, MS, SECOND};
 pub use content::{Content, Delta, Rejection};
 pub use machine::{
-    Action, Distribution, Event, LogState, Note, ProposalError, Publication, PublishError, Ticket,
+    Action, Distribution, Event, LogState, Notification, ProposalError, Publication, PublishError, Ticket,
 };
 pub use overview::{NodeCount, Overview};
 pub use revision::{Announcement, Digest, RevisionId, REGISTER_KEY};
-pub use saved::{Document, Saved, StagedContent, Write, SAVED_VERSION};
-pub use wire::{encode, read, Body, Envelope, Fault, Report, Transfer, TransferKind, MARK, VERSION};
+pub use saved::{Document, FileWrite, StagedContent, StoredState, STORED_STATE_VERSION};
+pub use wire::{
+    decode, encode, Body, DatagramError, Envelope, Report, Transfer, TransferKind, MAGIC, VERSION,
+};
--- a/crates/distribution/src/machine/applying.rs
+++ b/crates/distribution/src/machine/applying.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::fetching::Fetch;
-use super::{Action, Distribution, Note};
-use crate::bounds::{MAX_CONTENT, REPORT_SOON};
+use super::{Action, Distribution, Notification};
+use crate::bounds::{MAX_CONTENT_BYTES, MAX_IN_FORCE_REPORT_DELAY};
 use crate::config::{Defect, Nanos};
 use crate::content::Rejection;
 use crate::history::Link;
@@ -166,7 +166,9 @@
             other => return self.work = other,
         };
         match result {
-            Ok(document) if document.len() <= MAX_CONTENT => self.verified(now, target, document, chain, out),
+            Ok(document) if document.len() <= MAX_CONTENT_BYTES => {
+                self.verified(now, target, document, chain, out)
+            }
             _ => self.bad_chain(now, target, out),
         }
     }
@@ -176,7 +178,8 @@
         &mut self, now: Nanos, target: Announcement, bytes: Arc<[u8]>, chain: Vec<Link>,
         out: &mut Vec<Action>,
     ) {
-        let trusts = matches!(self.tuning.defect, Some(Defect::SkipsVerification | Defect::AppliesHalf));
+        let trusts =
+            matches!(self.tuning.defect, Some(Defect::SkipsVerification | Defect::AppliesIncomplete));
         if !target.matches(&bytes) && !trusts {
             return self.bad_chain(now, target, out);
         }
@@ -190,7 +193,7 @@
 
     /// Deltas, or what was staged, did not lead to the announced digest.
     fn bad_chain(&mut self, now: Nanos, target: Announcement, out: &mut Vec<Action>) {
-        out.push(Action::Tell(Note::BadChain(target.id)));
+        out.push(Action::Notify(Notification::ChainMismatch(target.id)));
         self.staged.retain(|(_, staged)| staged.announcement != target);
         self.base = None;
         self.work = Work::Fetching(Box::new(Fetch::snapshot(target, now)));
@@ -223,8 +226,8 @@
                 self.in_force = Some(document);
                 (self.refused, self.forsaken) = (None, false);
                 // Others look for it.
-                self.report_at = self.report_at.min(now + self.rng.u64(0..REPORT_SOON));
-                out.push(Action::Tell(Note::InForce(announcement)));
+                self.report_at = self.report_at.min(now + self.rng.u64(0..MAX_IN_FORCE_REPORT_DELAY));
+                out.push(Action::Notify(Notification::InForce(announcement)));
             }
             Err(Rejection(why)) => self.refuse(announcement, why, out),
         }
@@ -232,6 +235,6 @@
 
     fn refuse(&mut self, announcement: Announcement, why: String, out: &mut Vec<Action>) {
         self.refused = Some((announcement.id, why.clone()));
-        out.push(Action::Tell(Note::Refused(announcement.id, why)));
+        out.push(Action::Notify(Notification::Refused(announcement.id, why)));
     }
 }
--- a/crates/distribution/src/machine/fetching.rs
+++ b/crates/distribution/src/machine/fetching.rs
@@ -1,10 +1,10 @@
 //! From whom content is fetched, and at which pace.
 
 use super::applying::{Base, Work};
-use super::{Action, Distribution, Note};
+use super::{Action, Distribution, Notification};
 use crate::bounds::{
-    ANSWER_WITHIN, BASE_ATTEMPTS, MAX_PIECES_PULLED, PATIENT_AFTER, PIECE_BYTES, RETARGET_AFTER,
-    RETRY_DOUBLINGS, RETRY_MAX, RETRY_MIN,
+    ANSWER_TIMEOUT, FULL_BACKOFF_ATTEMPTS, MAX_BASE_ATTEMPTS, MAX_EARLY_DOUBLINGS, MAX_PIECES_PULLED,
+    MAX_RETRY_DELAY, MIN_RETRY_DELAY, PIECE_BYTES, RETARGET_DELAY,
 };
 use crate::config::{Defect, Name, Nanos, Peer};
 use crate::fetch::Download;
@@ -94,15 +94,15 @@
     }
 
     fn is_over(&self, download: &Download) -> bool {
-        let half = self.tuning.defect == Some(Defect::AppliesHalf) && download.is_half();
+        let half = self.tuning.defect == Some(Defect::AppliesIncomplete) && download.is_half();
         download.is_complete() || half
     }
 
     /// The next attempt, later after each failure.
     fn retry(&mut self, now: Nanos, fetch: &mut Fetch, busy: bool) {
-        let patient = if fetch.attempt < PATIENT_AFTER { RETRY_DOUBLINGS } else { u32::BITS };
+        let patient = if fetch.attempt < FULL_BACKOFF_ATTEMPTS { MAX_EARLY_DOUBLINGS } else { u32::BITS };
         let doublings = (fetch.attempt / SOURCES.len() as u32).min(patient) + u32::from(busy);
-        let wait = (RETRY_MIN << doublings.min(u32::BITS / 2)).min(RETRY_MAX);
+        let wait = (MIN_RETRY_DELAY << doublings.min(u32::BITS / 2)).min(MAX_RETRY_DELAY);
         let until = now + wait + self.rng.u64(0..wait);
         if let Phase::Downloading(download) = std::mem::replace(&mut fetch.phase, Phase::Waiting { until }) {
             fetch.partial = Some(download);
@@ -110,10 +110,10 @@
     }
 
     fn ask(&mut self, now: Nanos, fetch: &mut Fetch, out: &mut Vec<Action>) {
-        if fetch.attempt >= BASE_ATTEMPTS {
+        if fetch.attempt >= MAX_BASE_ATTEMPTS {
             self.base = None;
         }
-        let again = now >= fetch.since + RETARGET_AFTER || self.base.is_some();
+        let again = now >= fetch.since + RETARGET_DELAY || self.base.is_some();
         if let Some(latest) = self.target().filter(|latest| again && latest.id != fetch.target.id) {
             (fetch.target, fetch.since) = (latest, now);
             fetch.partial = None;
@@ -135,7 +135,7 @@
             snapshot: fetch.snapshot,
         };
         self.send(&from, request, out);
-        fetch.phase = Phase::Asked { from, until: now + ANSWER_WITHIN };
+        fetch.phase = Phase::Asked { from, until: now + ANSWER_TIMEOUT };
     }
 
     /// A node to ask, one that is known to have it if there is any; any live one where there is none of that kind.
@@ -149,7 +149,7 @@
         let alive = self.peers.iter().filter(|peer| peer.alive);
         let fitting: Vec<&Peer> = alive.clone().filter(fits).collect();
         let fitting = if fitting.is_empty() { alive.collect() } else { fitting };
-        let has = |peer: &&Peer| self.known_at(now, &peer.name).is_some_and(|id| id >= want);
+        let has = |peer: &&Peer| self.reported_revision(now, &peer.name).is_some_and(|id| id >= want);
         let having: Vec<&Peer> = fitting.iter().copied().filter(has).collect();
         // Not always: what is known may be old, and the few that are known to have it may be busy.
         let any = having.is_empty() || self.rng.u8(0..4) == 0;
@@ -210,10 +210,11 @@
         let Phase::Downloading(download) = fetch.phase else { return };
         let (from, transfer) = (download.from.clone(), download.transfer);
         let bytes = download.into_bytes();
-        let trusts = matches!(self.tuning.defect, Some(Defect::SkipsVerification | Defect::AppliesHalf));
+        let trusts =
+            matches!(self.tuning.defect, Some(Defect::SkipsVerification | Defect::AppliesIncomplete));
         if Digest::of(&bytes) != transfer.digest && !trusts {
-            out.push(Action::Tell(Note::BadContent(from, fetch.target.id)));
-            fetch.phase = Phase::Waiting { until: now + RETRY_MIN };
+            out.push(Action::Notify(Notification::DigestMismatch(from, fetch.target.id)));
+            fetch.phase = Phase::Waiting { until: now + MIN_RETRY_DELAY };
             self.work = Work::Fetching(Box::new(fetch));
             return;
         }
--- a/crates/distribution/src/machine/following.rs
+++ b/crates/distribution/src/machine/following.rs
@@ -1,10 +1,10 @@
 //! What the agreed log announces.
 
-use super::{Action, Distribution, LogState, Note, Work};
-use crate::bounds::{MAX_ANNOUNCEMENTS, SET_ASIDE_AFTER};
+use super::{Action, Distribution, LogState, Notification, Work};
+use crate::bounds::{MAX_ANNOUNCEMENTS, SET_ASIDE_DELAY};
 use crate::config::{Defect, Nanos};
 use crate::revision::{Announcement, RevisionId};
-use crate::saved::Write;
+use crate::saved::FileWrite;
 
 impl Distribution {
     pub(super) fn follow(&mut self, now: Nanos, state: LogState, out: &mut Vec<Action>) {
@@ -25,14 +25,14 @@
         }
         if before.announcement != state.announcement && self.log_is_lower() {
             let id = state.announcement.map_or_else(RevisionId::default, |announcement| announcement.id);
-            out.push(Action::Tell(Note::LogIsLower(id)));
+            out.push(Action::Notify(Notification::LogBehind(id)));
         }
     }
 
     /// The revision that is to be in force next, if there is one.
     pub(super) fn target(&self) -> Option<Announcement> {
         let latest = self.log.announcement?;
-        if self.tuning.defect == Some(Defect::TakesLower) {
+        if self.tuning.defect == Some(Defect::AppliesLower) {
             return Some(latest).filter(|latest| self.held_id() != Some(latest.id));
         }
         let refused = self.refused.as_ref().map(|(id, _)| *id);
@@ -62,7 +62,7 @@
 
     /// Sets aside what was held for long enough against a fresh log.
     pub(super) fn weigh_set_aside(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        if self.contradicted.is_none_or(|since| now < since + SET_ASIDE_AFTER) {
+        if self.contradicted.is_none_or(|since| now < since + SET_ASIDE_DELAY) {
             return;
         }
         self.contradicted = None;
@@ -81,8 +81,8 @@
         self.set_aside = Some((id, why.clone()));
         self.refused = None;
         self.history.clear();
-        self.saving.instead(Write::SetAside);
+        self.saving.instead(FileWrite::SetAside);
         self.work = Work::Idle;
-        out.push(Action::Tell(Note::SetAside(id, why)));
+        out.push(Action::Notify(Notification::SetAside(id, why)));
     }
 }
--- a/crates/distribution/src/machine/mod.rs
+++ b/crates/distribution/src/machine/mod.rs
@@ -13,13 +13,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::bounds::{REPORT_EVERY, SERVE_RATE, START_SPREAD};
+use crate::bounds::{MAX_START_DELAY, REPORT_INTERVAL, SERVE_RATE};
 use crate::config::{Identity, Name, Nanos, Peer, Tuning};
 use crate::content::{Delta, Rejection};
 use crate::history::History;
 use crate::reports::{self, Reports};
 use crate::revision::{Announcement, Digest, RevisionId};
-use crate::saved::{Document, Saved, StagedContent, Write};
+use crate::saved::{Document, FileWrite, StagedContent, StoredState};
 use crate::server::{Budget, Server};
 use crate::wire::{self, encode, Body, Envelope};
 use applying::{Base, Work};
@@ -84,8 +84,8 @@
     },
     /// Put this document in force between two requests, and tell whether it is. One at most is under way.
     Apply(Document),
-    /// Write this and tell whether it is durable. One at most is under way.
-    Persist(Write),
+    /// FileWrite this and tell whether it is durable. One at most is under way.
+    Persist(FileWrite),
     /// Have this announcement agreed on, where the register still stands at this revision, and tell the outcome.
     Propose {
         /// Of which publication.
@@ -98,26 +98,26 @@
     /// A publication is over.
     Published(Ticket, Result<RevisionId, PublishError>),
     /// Something that others may want to know.
-    Tell(Note),
+    Notify(Notification),
 }
 
 /// What others may want to know.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Notification {
     /// A revision is in force here.
     InForce(Announcement),
     /// A revision is refused here, with the reason; the one before stays in force.
     Refused(RevisionId, String),
     /// What a node sent does not have the digest that it should have; it is fetched from another.
-    BadContent(Name, RevisionId),
+    DigestMismatch(Name, RevisionId),
     /// Deltas did not lead to the announced digest; the whole document is fetched.
-    BadChain(RevisionId),
+    ChainMismatch(RevisionId),
     /// The revision that was in force from the disk is not of this log: it is set aside, with the reason.
     SetAside(RevisionId, String),
     /// The disk does not take the revision in force, or takes it again.
-    DiskTakes(bool),
+    StorageAvailable(bool),
     /// What the log announces is lower than what is held here.
-    LogIsLower(RevisionId),
+    LogBehind(RevisionId),
 }
 
 /// One node's part.
@@ -148,17 +148,17 @@
     reports: Reports,
     report_at: Nanos,
     saving: Saving,
-    faults: BTreeMap<wire::Fault, u64>,
+    faults: BTreeMap<wire::DatagramError, u64>,
     sent_bytes: u64,
 }
 
 impl Distribution {
     /// A node that has just started; `saved` is what its disk held. A saved revision is applied at once.
     pub fn new(
-        id: Identity, tuning: Tuning, saved: Saved, seed: u64, now: Nanos, out: &mut Vec<Action>,
+        id: Identity, tuning: Tuning, saved: StoredState, seed: u64, now: Nanos, out: &mut Vec<Action>,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (fetch_after, report_at) = (now + rng.u64(0..START_SPREAD), now + rng.u64(0..REPORT_EVERY));
+        let (fetch_after, report_at) = (now + rng.u64(0..MAX_START_DELAY), now + rng.u64(0..REPORT_INTERVAL));
         let catching_up = Some(Budget::new(tuning.catch_up_rate, now));
         let mut node = Distribution {
             id,
@@ -201,9 +201,13 @@
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
-            Event::Datagram(bytes) => match wire::read(bytes) {
-                Ok(envelope) if envelope.cluster != self.id.cluster => self.fault(wire::Fault::Foreign),
-                Ok(envelope) if envelope.to != self.id.name => self.fault(wire::Fault::Misdirected),
+            Event::Datagram(bytes) => match wire::decode(bytes) {
+                Ok(envelope) if envelope.cluster != self.id.cluster => {
+                    self.fault(wire::DatagramError::WrongCluster)
+                }
+                Ok(envelope) if envelope.to != self.id.name => {
+                    self.fault(wire::DatagramError::WrongRecipient)
+                }
                 Ok(envelope) => self.hear(now, envelope, out),
                 Err(fault) => self.fault(fault),
             },
@@ -222,7 +226,7 @@
     pub fn due(&self) -> Nanos {
         let publications = self.publications.values().map(InPublication::due);
         let staging = self.staging.iter().map(Staging::due);
-        let set_aside = self.contradicted.iter().map(|since| since + crate::bounds::SET_ASIDE_AFTER);
+        let set_aside = self.contradicted.iter().map(|since| since + crate::bounds::SET_ASIDE_DELAY);
         let all = publications.chain(staging).chain(set_aside).chain(self.server.due());
         all.chain(self.work_due()).chain(self.saving_due()).fold(self.report_at, Nanos::min)
     }
@@ -245,12 +249,12 @@
         self.peers.sort_by(|one, other| one.name.cmp(&other.name));
     }
 
-    fn fault(&mut self, fault: wire::Fault) {
+    fn fault(&mut self, fault: wire::DatagramError) {
         *self.faults.entry(fault).or_default() += 1;
     }
 
     /// Datagrams without effect, by reason.
-    pub fn faults(&self) -> &BTreeMap<wire::Fault, u64> {
+    pub fn rejected_datagrams(&self) -> &BTreeMap<wire::DatagramError, u64> {
         &self.faults
     }
 
@@ -271,12 +275,12 @@
 
     /// The latest verified document, which a next revision is made from. It differs from the one in force where the
     /// host has refused it.
-    pub fn held(&self) -> Option<&Document> {
+    pub fn verified_document(&self) -> Option<&Document> {
         self.held.as_ref()
     }
 
     /// Everything about the work under way in a line, for whoever looks for a fault.
-    pub fn inside(&self) -> String {
+    pub fn debug_summary(&self) -> String {
         let id = |document: &Option<Document>| document.as_ref().map(|document| document.announcement.id);
         format!(
             "log {:?}, held {:?}, in force {:?}, refused {:?}, {}, {} staged, history {:?}",
--- a/crates/distribution/src/machine/publishing.rs
+++ b/crates/distribution/src/machine/publishing.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use super::{Action, Distribution};
-use crate::bounds::{MAX_CONTENT, MAX_PUBLICATIONS, OFFER_EVERY, STAGE_WITHIN};
+use crate::bounds::{MAX_CONTENT_BYTES, MAX_PUBLICATIONS, OFFER_INTERVAL, STAGE_TIMEOUT};
 use crate::config::{Name, Nanos};
 use crate::content::Delta;
 use crate::history::Link;
@@ -45,7 +45,7 @@
     Unconfirmed,
     /// The log cannot take it.
     #[error("{0}")]
-    NotTaken(String),
+    Rejected(String),
 }
 
 /// Why a revision is not published.
@@ -58,16 +58,16 @@
     #[error("this node has not yet fetched the latest revision: try again, or at another node")]
     Behind,
     /// Too long.
-    #[error("{0} bytes, {MAX_CONTENT} at most: take out what nobody needs")]
+    #[error("{0} bytes, {MAX_CONTENT_BYTES} at most: take out what nobody needs")]
     TooLong(usize),
     /// Too many at once.
     #[error("too many publications at once: try again")]
     Busy,
     /// The content is not kept by enough voters; nothing was announced.
-    #[error("{kept} of {voters} voters have kept the content in time, a majority is needed: see whether most are up")]
-    NotKept {
+    #[error("{staged} of {voters} voters have kept the content in time, a majority is needed: see whether most are up")]
+    NotStaged {
         /// How many have.
-        kept: usize,
+        staged: usize,
         /// How many there are.
         voters: usize,
     },
@@ -76,13 +76,13 @@
     Unconfirmed,
     /// The log has not taken the announcement.
     #[error("the log did not take the announcement: {0}")]
-    NotTaken(String),
+    ProposalRejected(String),
     /// The log was lost and founded anew while the content was on its way to the voters.
     #[error("the log was founded anew meanwhile: see which revision it announces, then publish again")]
     NewEpoch,
     /// The part that publishes has ended.
     #[error("this process takes no part any more: ask another node")]
-    Ended,
+    NotParticipating,
 }
 
 /// One under way.
@@ -134,7 +134,7 @@
     fn prepare(&self, now: Nanos, publication: Publication) -> Result<InPublication, PublishError> {
         let Publication { base, format, document, delta, over_missing, .. } = publication;
         let longest = document.len().max(delta.as_ref().map_or(0, |delta| delta.len()));
-        if longest > MAX_CONTENT {
+        if longest > MAX_CONTENT_BYTES {
             return Err(PublishError::TooLong(longest));
         }
         if self.publications.len() >= MAX_PUBLICATIONS {
@@ -166,7 +166,7 @@
             epoch: self.log.epoch,
             expect: self.log.value_revision,
             kept: BTreeSet::new(),
-            until: now + STAGE_WITHIN,
+            until: now + STAGE_TIMEOUT,
             again: now,
             proposed: false,
         })
@@ -219,10 +219,10 @@
                 out.push(Action::Propose { ticket, announcement, expect });
             } else if now >= publication.until {
                 self.publications.remove(&ticket);
-                let error = PublishError::NotKept { kept, voters: count };
+                let error = PublishError::NotStaged { staged: kept, voters: count };
                 out.push(Action::Published(ticket, Err(error)));
             } else if now >= publication.again {
-                publication.again = now + OFFER_EVERY;
+                publication.again = now + OFFER_INTERVAL;
                 let missing: Vec<&Name> =
                     voters.iter().filter(|voter| !publication.kept.contains(*voter)).collect();
                 for voter in missing {
@@ -242,7 +242,7 @@
             Ok(()) => Ok(id),
             Err(ProposalError::Superseded) => Err(PublishError::Superseded(latest)),
             Err(ProposalError::Unconfirmed) => Err(PublishError::Unconfirmed),
-            Err(ProposalError::NotTaken(why)) => Err(PublishError::NotTaken(why)),
+            Err(ProposalError::Rejected(why)) => Err(PublishError::ProposalRejected(why)),
         };
         out.push(Action::Published(ticket, outcome));
     }
--- a/crates/distribution/src/machine/reporting.rs
+++ b/crates/distribution/src/machine/reporting.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{Action, Distribution};
-use crate::bounds::REPORT_EVERY;
+use crate::bounds::REPORT_INTERVAL;
 use crate::config::{Defect, Name, Nanos, Peer};
 use crate::overview::{Overview, MAX_NAMES};
 use crate::reports::{self, report, Known};
@@ -30,7 +30,7 @@
         if now < self.report_at {
             return;
         }
-        self.report_at = now + REPORT_EVERY / 2 + self.rng.u64(0..REPORT_EVERY);
+        self.report_at = now + REPORT_INTERVAL / 2 + self.rng.u64(0..REPORT_INTERVAL);
         self.reports.expire(now);
         let alive: Vec<&Peer> = self.peers.iter().filter(|peer| peer.alive).collect();
         if alive.is_empty() {
@@ -61,7 +61,7 @@
             refused_here: self.refused.clone(),
             set_aside: self.set_aside.clone(),
             unsaved: self.saving.is_failing(),
-            log_heard: self.log_heard.map(|at| now.saturating_sub(at)),
+            log_fresh_age: self.log_heard.map(|at| now.saturating_sub(at)),
             ..Overview::default()
         };
         count(&mut overview, now, &self.id.name, Some(self.own(now)));
@@ -73,7 +73,7 @@
             // Where two names have one hash, nobody can say whose report it is.
             let known = self.reports.of(now, hash).filter(|_| names.get(&hash) == Some(&1));
             let known = match (known, self.tuning.defect) {
-                (None, Some(Defect::SilenceIsApplied)) => {
+                (None, Some(Defect::CountsSilentAsApplied)) => {
                     latest.map(|id| Known { id, refused: false, as_of: now })
                 }
                 _ => known,
@@ -87,7 +87,7 @@
     }
 
     /// Which revision is known to be in force at a node; none where nothing was heard of it for too long.
-    pub fn known_at(&self, now: Nanos, name: &str) -> Option<RevisionId> {
+    pub fn reported_revision(&self, now: Nanos, name: &str) -> Option<RevisionId> {
         self.reports.of(now, reports::hash(name)).map(|known| known.id)
     }
 }
--- a/crates/distribution/src/machine/saving.rs
+++ b/crates/distribution/src/machine/saving.rs
@@ -1,18 +1,18 @@
 //! What goes to the disk, one write at a time; serving depends on none.
 
-use super::{Action, Distribution, Note};
-use crate::bounds::{SAVE_EVERY, SAVE_RETRY};
+use super::{Action, Distribution, Notification};
+use crate::bounds::{SAVE_INTERVAL, SAVE_RETRY_DELAY};
 use crate::config::Nanos;
 use crate::revision::RevisionId;
-use crate::saved::Write;
+use crate::saved::FileWrite;
 
 /// What is on the disk, and on its way there.
 #[derive(Debug, Default)]
 pub struct Saving {
     on_disk: Option<RevisionId>,
-    under_way: Option<Write>,
-    staged: Option<Write>, // wanted
-    instead: Option<Write>,
+    under_way: Option<FileWrite>,
+    staged: Option<FileWrite>, // wanted
+    instead: Option<FileWrite>,
     next: Nanos,
     failing: bool,
 }
@@ -24,19 +24,19 @@
     }
 
     /// Wants all that is staged written, at once.
-    pub fn stage(&mut self, write: Write) {
+    pub fn stage(&mut self, write: FileWrite) {
         self.staged = Some(write);
     }
 
     /// Wants this done before the next revision is written.
-    pub fn instead(&mut self, write: Write) {
+    pub fn instead(&mut self, write: FileWrite) {
         self.instead = Some(write);
         self.on_disk = None;
     }
 
     /// Whether what is staged is not durable yet.
     pub fn wants_staged(&self) -> bool {
-        self.staged.is_some() || matches!(self.under_way, Some(Write::Staged(_)))
+        self.staged.is_some() || matches!(self.under_way, Some(FileWrite::Staged(_)))
     }
 
     /// Whether the disk has failed the last write.
@@ -46,10 +46,10 @@
 }
 
 impl Distribution {
-    fn unsaved(&self) -> Option<Write> {
+    fn unsaved(&self) -> Option<FileWrite> {
         let document = self.in_force.as_ref().filter(|_| !self.forsaken)?;
         let saved = self.saving.on_disk == Some(document.announcement.id);
-        (!saved).then(|| Write::InForce(document.clone()))
+        (!saved).then(|| FileWrite::InForce(document.clone()))
     }
 
     pub(super) fn saving_due(&self) -> Option<Nanos> {
@@ -79,20 +79,20 @@
         let Some(write) = self.saving.under_way.take() else { return };
         if durable == self.saving.failing {
             self.saving.failing = !durable;
-            out.push(Action::Tell(Note::DiskTakes(durable)));
+            out.push(Action::Notify(Notification::StorageAvailable(durable)));
         }
         if !durable {
-            self.saving.next = now + SAVE_RETRY;
+            self.saving.next = now + SAVE_RETRY_DELAY;
             match write {
-                Write::Staged(_) if self.saving.staged.is_none() => self.saving.staged = Some(write),
-                Write::SetAside => self.saving.instead = Some(write),
+                FileWrite::Staged(_) if self.saving.staged.is_none() => self.saving.staged = Some(write),
+                FileWrite::SetAside => self.saving.instead = Some(write),
                 _ => {}
             }
             return;
         }
-        if let Write::InForce(document) = write {
+        if let FileWrite::InForce(document) = write {
             self.saving.on_disk = Some(document.announcement.id);
-            self.saving.next = now + SAVE_EVERY;
+            self.saving.next = now + SAVE_INTERVAL;
         }
     }
 }
--- a/crates/distribution/src/machine/serving.rs
+++ b/crates/distribution/src/machine/serving.rs
@@ -4,8 +4,8 @@
 
 use super::{Action, Distribution};
 use crate::bounds::{
-    CHAIN_ALWAYS, MAX_CONTENT, MAX_DATAGRAM, MAX_PIECES_PULLED, MAX_TRANSFERS, MAX_VOTER_TRANSFERS,
-    PIECE_BYTES, SERVE_RATE, VOTER_SERVE_RATE,
+    MAX_CONTENT_BYTES, MAX_DATAGRAM, MAX_LARGE_TRANSFERS, MAX_PIECES_PULLED, MAX_VOTER_LARGE_TRANSFERS,
+    MIN_CHAIN_LIMIT_BYTES, PIECE_BYTES, SERVE_RATE, VOTER_SERVE_RATE,
 };
 use crate::config::{Name, Nanos};
 use crate::revision::{Announcement, Digest, RevisionId};
@@ -39,7 +39,7 @@
         let Some(Served { makes, transfer, bytes }) = self.served(have, wanted) else {
             return self.send(from, Body::Missing { want }, out);
         };
-        let limit = if self.votes { MAX_VOTER_TRANSFERS } else { MAX_TRANSFERS };
+        let limit = if self.votes { MAX_VOTER_LARGE_TRANSFERS } else { MAX_LARGE_TRANSFERS };
         let several = bytes.len() > PIECE_BYTES;
         let admitted = !several || self.server.admit(now, from, transfer.digest, &bytes, limit);
         if !admitted || !self.server.budget.spend(now, MAX_DATAGRAM) {
@@ -55,7 +55,7 @@
             return Some(staged);
         }
         let document = self.history.snapshot(wanted.id).filter(|(kept, _)| kept.digest == wanted.digest);
-        let limit = document.map_or(MAX_CONTENT, |(_, bytes)| bytes.len().max(CHAIN_ALWAYS));
+        let limit = document.map_or(MAX_CONTENT_BYTES, |(_, bytes)| bytes.len().max(MIN_CHAIN_LIMIT_BYTES));
         let chain =
             have.filter(|_| !wanted.snapshot).and_then(|have| self.history.chain(have, wanted.digest, limit));
         if let Some(chain) = chain {
--- a/crates/distribution/src/machine/staging.rs
+++ b/crates/distribution/src/machine/staging.rs
@@ -1,11 +1,11 @@
 //! Content that a voter keeps before it is announced, so that it outlives whoever publishes it.
 
 use super::{Action, Distribution};
-use crate::bounds::{MAX_CONTENT, MAX_PIECES_PULLED, MAX_STAGED, STAGED_LASTS};
+use crate::bounds::{MAX_CONTENT_BYTES, MAX_PIECES_PULLED, MAX_STAGED, STAGED_TTL};
 use crate::config::{Defect, Name, Nanos};
 use crate::fetch::Download;
 use crate::revision::{Announcement, Digest};
-use crate::saved::{StagedContent, Write};
+use crate::saved::{FileWrite, StagedContent};
 use crate::wire::{Body, Transfer};
 
 /// Content on its way from its publisher.
@@ -38,7 +38,7 @@
             return;
         }
         let free = self.staging.as_ref().is_none_or(|staging| staging.download.is_stuck(now));
-        let fits = transfer.length as usize <= MAX_CONTENT + MAX_CONTENT / 64;
+        let fits = transfer.length as usize <= MAX_CONTENT_BYTES + MAX_CONTENT_BYTES / 64;
         if free && fits && self.votes {
             let download = Download::new(now, from, transfer);
             self.staging = download.map(|download| Staging { download, announcement, base });
@@ -56,7 +56,7 @@
         self.staged.retain(|(since, staged)| {
             let id = staged.announcement.id;
             let announced = announcements.get(&id) == Some(&staged.announcement);
-            (announced || now < since + STAGED_LASTS) && Some(id) > floor
+            (announced || now < since + STAGED_TTL) && Some(id) > floor
         });
         let Some(mut staging) = self.staging.take() else { return };
         if staging.download.is_complete() {
@@ -98,12 +98,14 @@
         let bytes = |staged: &std::collections::VecDeque<(Nanos, StagedContent)>| {
             staged.iter().map(|(_, content)| content.bytes.len()).sum::<usize>()
         };
-        while self.staged.len() > MAX_STAGED || bytes(&self.staged) > MAX_CONTENT + MAX_CONTENT / 2 {
+        while self.staged.len() > MAX_STAGED
+            || bytes(&self.staged) > MAX_CONTENT_BYTES + MAX_CONTENT_BYTES / 2
+        {
             self.staged.pop_front();
         }
         if self.tuning.disk {
             let staged = self.staged.iter().map(|(_, content)| content.clone()).collect();
-            self.saving.stage(Write::Staged(staged));
+            self.saving.stage(FileWrite::Staged(staged));
         }
     }
 }
--- a/crates/distribution/src/overview.rs
+++ b/crates/distribution/src/overview.rs
@@ -44,7 +44,7 @@
     pub unsaved: bool,
     /// Nanoseconds since the log was last heard to be fresh; none: never since the start. What is in force may be as
     /// old as that.
-    pub log_heard: Option<Nanos>,
+    pub log_fresh_age: Option<Nanos>,
     /// Live members, this node among them.
     pub live: usize,
     /// Those at which the latest revision is in force.
--- a/crates/distribution/src/reports.rs
+++ b/crates/distribution/src/reports.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-use crate::bounds::{MAX_REPORTS, MAX_REPORTS_SENT, REPORT_LASTS};
+use crate::bounds::{MAX_REPORTS_PER_DATAGRAM, MAX_STORED_REPORTS, REPORT_TTL};
 use crate::config::{Nanos, SECOND};
 use crate::revision::RevisionId;
 use crate::wire::Report;
@@ -44,11 +44,11 @@
     pub fn take(&mut self, now: Nanos, own: u32, reports: &[Report]) {
         for report in reports.iter().filter(|report| report.node != own) {
             let Some(as_of) = now.checked_sub(Nanos::from(report.age) * AGE_STEP) else { continue };
-            if now - as_of >= REPORT_LASTS {
+            if now - as_of >= REPORT_TTL {
                 continue;
             }
             let known = Known { id: report.id, refused: report.refused, as_of };
-            let full = self.known.len() >= MAX_REPORTS;
+            let full = self.known.len() >= MAX_STORED_REPORTS;
             match self.known.get_mut(&report.node) {
                 Some(before) if before.as_of >= as_of => {}
                 Some(before) => *before = known,
@@ -62,19 +62,19 @@
 
     /// Drops what is too old to be believed.
     pub fn expire(&mut self, now: Nanos) {
-        self.known.retain(|_, known| now.saturating_sub(known.as_of) < REPORT_LASTS);
+        self.known.retain(|_, known| now.saturating_sub(known.as_of) < REPORT_TTL);
     }
 
     /// What is known of a node.
     pub fn of(&self, now: Nanos, node: u32) -> Option<Known> {
-        self.known.get(&node).copied().filter(|known| now.saturating_sub(known.as_of) < REPORT_LASTS)
+        self.known.get(&node).copied().filter(|known| now.saturating_sub(known.as_of) < REPORT_TTL)
     }
 
     /// Some reports to be told on: those that follow a drawn place in the order of hashes.
     pub fn sample(&self, now: Nanos, from: u32) -> Vec<Report> {
         let after = self.known.range(from..).chain(self.known.range(..from));
-        let fresh = after.filter(|(_, known)| now.saturating_sub(known.as_of) < REPORT_LASTS - 2 * AGE_STEP);
-        fresh.take(MAX_REPORTS_SENT - 1).map(|(node, known)| report(now, *node, *known)).collect()
+        let fresh = after.filter(|(_, known)| now.saturating_sub(known.as_of) < REPORT_TTL - 2 * AGE_STEP);
+        fresh.take(MAX_REPORTS_PER_DATAGRAM - 1).map(|(node, known)| report(now, *node, *known)).collect()
     }
 }
 
--- a/crates/distribution/src/saved.rs
+++ b/crates/distribution/src/saved.rs
@@ -9,7 +9,7 @@
 use crate::wire::Transfer;
 
 /// Version of the files' form.
-pub const SAVED_VERSION: u8 = 1;
+pub const STORED_STATE_VERSION: u8 = 1;
 const IN_FORCE: &str = "configuration";
 const STAGED: &str = "configuration-staged";
 
@@ -37,7 +37,7 @@
 
 /// What a disk holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Saved {
+pub struct StoredState {
     /// The revision that was in force.
     pub in_force: Option<Document>,
     /// Content that was staged here.
@@ -46,7 +46,7 @@
 
 /// A write that is wanted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Write {
+pub enum FileWrite {
     /// The revision in force.
     InForce(Document),
     /// All that is staged.
@@ -56,16 +56,16 @@
 }
 
 fn file(kind: &str, node: &str) -> File {
-    File::new(kind, node, SAVED_VERSION)
+    File::new(kind, node, STORED_STATE_VERSION)
 }
 
-impl Write {
+impl FileWrite {
     /// Makes it durable. Without a fault it survives a crash; with one, what was there before is still there.
     pub fn save(&self, disk: &dyn Disk, node: &str) -> Result<(), StoreError> {
         match self {
-            Write::InForce(document) => file(IN_FORCE, node).save(disk, document),
-            Write::Staged(staged) => file(STAGED, node).save(disk, staged),
-            Write::SetAside => {
+            FileWrite::InForce(document) => file(IN_FORCE, node).save(disk, document),
+            FileWrite::Staged(staged) => file(STAGED, node).save(disk, staged),
+            FileWrite::SetAside => {
                 let name = file(IN_FORCE, node).name().to_owned();
                 let renamed = disk.rename(&name, &format!("{name}.set-aside"));
                 renamed.map_err(|error| StoreError::Io { step: "setting aside", error })
@@ -74,7 +74,7 @@
     }
 }
 
-impl Saved {
+impl StoredState {
     /// What the disk holds and can be believed; files that cannot be are named, and set aside where they are there.
     pub fn load(disk: &dyn Disk, node: &str) -> (Self, Vec<StoreError>) {
         let mut faults = Vec::new();
@@ -84,7 +84,7 @@
             file(STAGED, node).load(disk).unwrap_or_else(|fault| note(&mut faults, fault));
         // The checksum is of the file; the digest tells also what was wrong before it was written.
         let in_force = in_force.filter(|document| document.announcement.matches(&document.bytes));
-        (Saved { in_force, staged: staged.unwrap_or_default() }, faults)
+        (StoredState { in_force, staged: staged.unwrap_or_default() }, faults)
     }
 }
 
--- a/crates/distribution/src/server.rs
+++ b/crates/distribution/src/server.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use crate::bounds::{BURST_PARTS, LARGE_TRANSFER, MAX_QUEUED, MAX_SERVED, PIECE_BYTES, TRANSFER_LASTS};
+use crate::bounds::{
+    BURST_DIVISOR, LARGE_TRANSFER_BYTES, MAX_QUEUED_PIECES, MAX_TRANSFERS, PIECE_BYTES, TRANSFER_TIMEOUT,
+};
 use crate::config::{Name, Nanos, SECOND};
 use crate::revision::Digest;
 
@@ -18,7 +20,7 @@
 impl Budget {
     /// A full one.
     pub fn new(rate: u64, now: Nanos) -> Self {
-        Budget { rate, left: rate / BURST_PARTS, at: now }
+        Budget { rate, left: rate / BURST_DIVISOR, at: now }
     }
 
     /// From now on it refills at this rate.
@@ -29,7 +31,7 @@
     fn refill(&mut self, now: Nanos) {
         let gained = u128::from(self.rate) * u128::from(now.saturating_sub(self.at)) / u128::from(SECOND);
         if gained > 0 {
-            self.left = self.left.saturating_add(gained as u64).min(self.rate / BURST_PARTS);
+            self.left = self.left.saturating_add(gained as u64).min(self.rate / BURST_DIVISOR);
             self.at = now;
         }
     }
@@ -95,13 +97,13 @@
         &mut self, now: Nanos, to: &Name, digest: Digest, content: &Arc<[u8]>, limit: usize,
     ) -> bool {
         self.transfers.retain(|_, serving| serving.until > now);
-        let is_large = |content: &Arc<[u8]>| content.len() > LARGE_TRANSFER;
+        let is_large = |content: &Arc<[u8]>| content.len() > LARGE_TRANSFER_BYTES;
         let others = || self.transfers.iter().filter(|(name, _)| *name != to).map(|(_, serving)| serving);
         let large = others().filter(|serving| is_large(&serving.content)).count();
-        if is_large(content) && large >= limit || others().count() >= MAX_SERVED {
+        if is_large(content) && large >= limit || others().count() >= MAX_TRANSFERS {
             return false;
         }
-        let serving = Serving { digest, content: content.clone(), until: now + TRANSFER_LASTS };
+        let serving = Serving { digest, content: content.clone(), until: now + TRANSFER_TIMEOUT };
         self.transfers.insert(to.clone(), serving);
         true
     }
@@ -109,7 +111,7 @@
     /// A node that fetches has pulled again.
     pub fn touch(&mut self, now: Nanos, to: &Name) {
         if let Some(serving) = self.transfers.get_mut(to) {
-            serving.until = now + TRANSFER_LASTS;
+            serving.until = now + TRANSFER_TIMEOUT;
         }
     }
 
@@ -121,7 +123,7 @@
 
     /// Has a piece served when its turn comes; what there is no room for is asked for again.
     pub fn queue(&mut self, piece: Queued) {
-        if self.queue.len() < MAX_QUEUED {
+        if self.queue.len() < MAX_QUEUED_PIECES {
             self.queue.push_back(piece);
         }
     }
--- a/crates/distribution/src/wire.rs
+++ b/crates/distribution/src/wire.rs
@@ -4,14 +4,14 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::bounds::{MAX_CONTENT, MAX_DATAGRAM, PIECE_BYTES};
+use crate::bounds::{MAX_CONTENT_BYTES, MAX_DATAGRAM, PIECE_BYTES};
 use crate::config::Name;
 use crate::revision::{Announcement, Digest, RevisionId};
 
 /// Version of the form.
 pub const VERSION: u8 = 1;
 /// What every datagram of the distribution begins with.
-pub const MARK: [u8; 2] = *b"mc";
+pub const MAGIC: [u8; 2] = *b"mc";
 const HEADER: usize = 7;
 
 /// What every datagram says.
@@ -55,7 +55,7 @@
 
     /// Pieces that it has; none if it is longer than any content.
     pub fn pieces(&self) -> Option<u16> {
-        let length = Some(self.length as usize).filter(|length| *length <= 2 * MAX_CONTENT)?;
+        let length = Some(self.length as usize).filter(|length| *length <= 2 * MAX_CONTENT_BYTES)?;
         u16::try_from(length.div_ceil(PIECE_BYTES)).ok()
     }
 }
@@ -150,32 +150,32 @@
 
 /// Why a datagram has no effect. Each is counted; none needs anybody unless it keeps rising.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
-pub enum Fault {
+pub enum DatagramError {
     /// Cut short, or not of this form at all.
     #[error("cut short or of another form: see what else sends to this port")]
     Malformed,
     /// Longer than any.
     #[error("longer than any that this program sends: see what else sends to this port")]
-    Long,
+    TooLong,
     /// Damaged.
     #[error("its checksum does not fit: see the network")]
     Checksum,
     /// Of another version.
     #[error("of another version of the form: finish the upgrade")]
-    Version,
+    UnsupportedVersion,
     /// Of another fleet.
     #[error("of another fleet: see `cluster` at both ends")]
-    Foreign,
+    WrongCluster,
     /// For somebody else.
     #[error("for another node: the address was another's")]
-    Misdirected,
+    WrongRecipient,
 }
 
 /// A datagram; none where it would be too long, which bounds on all that goes into one rule out.
 pub fn encode(envelope: &Envelope) -> Option<Vec<u8>> {
     let body = postcard::to_stdvec(envelope).ok()?;
     let mut bytes = Vec::with_capacity(HEADER + body.len());
-    bytes.extend(MARK);
+    bytes.extend(MAGIC);
     bytes.push(VERSION);
     bytes.extend(crc32c::crc32c(&body).to_le_bytes());
     bytes.extend(&body);
@@ -183,19 +183,19 @@
 }
 
 /// What a datagram says.
-pub fn read(bytes: &[u8]) -> Result<Envelope, Fault> {
+pub fn decode(bytes: &[u8]) -> Result<Envelope, DatagramError> {
     if bytes.len() > MAX_DATAGRAM {
-        return Err(Fault::Long);
+        return Err(DatagramError::TooLong);
     }
-    let (head, body) = bytes.split_at_checked(HEADER).ok_or(Fault::Malformed)?;
-    if head[..2] != MARK {
-        return Err(Fault::Malformed);
+    let (head, body) = bytes.split_at_checked(HEADER).ok_or(DatagramError::Malformed)?;
+    if head[..2] != MAGIC {
+        return Err(DatagramError::Malformed);
     }
     if head[2] != VERSION {
-        return Err(Fault::Version);
+        return Err(DatagramError::UnsupportedVersion);
     }
     if crc32c::crc32c(body).to_le_bytes() != head[3..] {
-        return Err(Fault::Checksum);
+        return Err(DatagramError::Checksum);
     }
-    postcard::from_bytes(body).map_err(|_| Fault::Malformed)
+    postcard::from_bytes(body).map_err(|_| DatagramError::Malformed)
 }
--- a/crates/distribution/tests/machine.rs
+++ b/crates/distribution/tests/machine.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use merlinfold_distribution::{
-    Action, Announcement, Digest, Distribution, Document, Event, Identity, LogState, Note, Peer, Publication,
-    PublishError, Rejection, RevisionId, Saved, Tuning, Write, MS, SECOND,
+    Action, Announcement, Digest, Distribution, Document, Event, FileWrite, Identity, LogState, Notification,
+    Peer, Publication, PublishError, Rejection, RevisionId, StoredState, Tuning, MS, SECOND,
 };
 use merlinfold_store::Disk;
 use proptest::prelude::*;
@@ -52,7 +52,7 @@
     }
 }
 
-fn node(number: usize, tuning: Tuning, saved: Saved) -> (Distribution, Vec<Action>) {
+fn node(number: usize, tuning: Tuning, saved: StoredState) -> (Distribution, Vec<Action>) {
     let id = Identity { cluster: 7, name: format!("n{number}").into(), zone: "a".into() };
     let mut out = Vec::new();
     let machine = Distribution::new(id, tuning, saved, number as u64, 0, &mut out);
@@ -76,7 +76,7 @@
     log: LogState,
     now: u64,
     refuses: BTreeMap<usize, u64>,
-    notes: Vec<(usize, Note)>,
+    notes: Vec<(usize, Notification)>,
     outcomes: Vec<Result<RevisionId, PublishError>>,
 }
 
@@ -84,7 +84,7 @@
     fn new(max_formats: [u16; 3]) -> Self {
         let nodes = (0..3).map(|number| {
             let tuning = Tuning { max_format: max_formats[number], ..Tuning::default() };
-            node(number, tuning, Saved::default()).0
+            node(number, tuning, StoredState::default()).0
         });
         let mut three = Three {
             nodes: nodes.collect(),
@@ -137,7 +137,7 @@
                 (0..3).for_each(|node| self.feed(node, Event::Log(self.log)));
             }
             Action::Published(_, outcome) => self.outcomes.push(outcome),
-            Action::Tell(note) => self.notes.push((number, note)),
+            Action::Notify(note) => self.notes.push((number, note)),
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     fn publish(&mut self, number: usize, format: u16, document: &[u8], delta: Option<&[u8]>) {
-        let base = self.nodes[number].held().map(|held| held.announcement.id);
+        let base = self.nodes[number].verified_document().map(|held| held.announcement.id);
         let publication = Publication {
             ticket: self.outcomes.len() as u64,
             base,
@@ -187,7 +187,11 @@
         assert_eq!(three.in_force(), [number; 3]);
     }
     assert!(three.nodes.iter().all(|node| *node.in_force().unwrap().bytes == *whole));
-    assert!(three.notes.iter().all(|(_, note)| matches!(note, Note::InForce(_))), "{:?}", three.notes);
+    assert!(
+        three.notes.iter().all(|(_, note)| matches!(note, Notification::InForce(_))),
+        "{:?}",
+        three.notes
+    );
     three.run(10);
     let overview = three.nodes[1].overview(three.now);
     assert_eq!((overview.live, overview.applied, overview.unknown.count), (3, 3, 0));
@@ -232,7 +236,7 @@
 /// Guards what is confirmed: without a majority of voters that keep the content nothing is announced.
 #[test]
 fn nothing_is_proposed_before_a_majority_keeps_the_content() {
-    let (mut machine, mut out) = node(2, Tuning::default(), Saved::default());
+    let (mut machine, mut out) = node(2, Tuning::default(), StoredState::default());
     machine.handle(0, Event::Peers(peers()), &mut out);
     machine.handle(0, Event::Log(LogState { epoch: 1, fresh: true, ..LogState::default() }), &mut out);
     let publication = Publication {
@@ -249,7 +253,7 @@
         machine.handle(now, Event::Tick, &mut out);
     }
     assert!(!out.iter().any(|action| matches!(action, Action::Propose { .. })));
-    let error = PublishError::NotKept { kept: 0, voters: 1 };
+    let error = PublishError::NotStaged { staged: 0, voters: 1 };
     assert!(out.contains(&Action::Published(1, Err(error))));
 }
 
@@ -257,8 +261,8 @@
 fn the_revision_of_the_disk_is_in_force_at_once_and_set_aside_if_the_log_contradicts_it() {
     let files = Files::default();
     let later = Document { announcement: announce(60, 1, b"later"), bytes: b"later".as_slice().into() };
-    Write::InForce(later.clone()).save(&files, "n1").unwrap();
-    let (saved, faults) = Saved::load(&files, "n1");
+    FileWrite::InForce(later.clone()).save(&files, "n1").unwrap();
+    let (saved, faults) = StoredState::load(&files, "n1");
     assert!(faults.is_empty());
     let (mut machine, mut out) = node(1, Tuning { disk: true, ..Tuning::default() }, saved);
     assert_eq!(out, [Action::Apply(later.clone())]);
@@ -273,21 +277,21 @@
     for (from, fresh, epoch) in [(0, false, 1), (10, true, 2)] {
         machine.handle(from * SECOND, Event::Log(state(fresh, epoch)), &mut out);
         machine.handle((from + 9) * SECOND, Event::Tick, &mut out);
-        assert_eq!(machine.held(), Some(&later));
+        assert_eq!(machine.verified_document(), Some(&later));
     }
     machine.handle(20 * SECOND, Event::Log(state(true, 1)), &mut out);
     machine.handle(26 * SECOND, Event::Tick, &mut out);
     assert!(out
         .iter()
-        .any(|action| matches!(action, Action::Tell(Note::SetAside(id, _)) if id.number == 60)));
-    assert!(out.contains(&Action::Persist(Write::SetAside)));
+        .any(|action| matches!(action, Action::Notify(Notification::SetAside(id, _)) if id.number == 60)));
+    assert!(out.contains(&Action::Persist(FileWrite::SetAside)));
     assert_eq!(
-        (machine.held(), machine.in_force()),
+        (machine.verified_document(), machine.in_force()),
         (None, Some(&later)),
         "it serves until there is another"
     );
-    Write::SetAside.save(&files, "n1").unwrap();
-    assert_eq!(Saved::load(&files, "n1").0, Saved::default());
+    FileWrite::SetAside.save(&files, "n1").unwrap();
+    assert_eq!(StoredState::load(&files, "n1").0, StoredState::default());
 }
 
 /// Guards the disk's copy: one whose digest does not fit is as good as none.
@@ -295,15 +299,15 @@
 fn a_saved_document_of_another_digest_is_not_believed() {
     let files = Files::default();
     let document = Document { announcement: announce(3, 1, b"this"), bytes: b"that".as_slice().into() };
-    Write::InForce(document).save(&files, "n1").unwrap();
-    assert_eq!(Saved::load(&files, "n1").0.in_force, None);
+    FileWrite::InForce(document).save(&files, "n1").unwrap();
+    assert_eq!(StoredState::load(&files, "n1").0.in_force, None);
 }
 
 proptest! {
     /// Whatever comes in, nothing is applied and nothing panics.
     #[test]
     fn any_datagram_is_borne(bytes in proptest::collection::vec(any::<u8>(), 0..1_300), valid: bool) {
-        let (mut machine, mut out) = node(1, Tuning::default(), Saved::default());
+        let (mut machine, mut out) = node(1, Tuning::default(), StoredState::default());
         machine.handle(0, Event::Peers(peers()), &mut out);
         let mut datagram = bytes;
         if valid && datagram.len() > 7 {
--- a/crates/fault-injection/src/configuration/host.rs
+++ b/crates/fault-injection/src/configuration/host.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use merlinfold_distribution::{
-    encode, read, Action, Body, Event, Note, ProposalError, Rejection, RevisionId, Ticket, Write,
+    decode, encode, Action, Body, Event, FileWrite, Notification, ProposalError, Rejection, RevisionId,
+    Ticket,
 };
 use merlinfold_simulation::{Nanos, MS};
 use rand::Rng;
@@ -28,7 +29,7 @@
             return self.feed(to, Event::Datagram(bytes));
         }
         // A node whose memory is bad: checksums of datagrams are right, content is not.
-        let Ok(mut envelope) = read(bytes) else { return };
+        let Ok(mut envelope) = decode(bytes) else { return };
         if let Body::Piece { bytes: content, .. } | Body::Offer { first: content, .. } = &mut envelope.body {
             if let Some(last) = content.last_mut() {
                 *last ^= 1;
@@ -75,7 +76,7 @@
                     self.propose(node, ticket, announcement, expect);
                 }
                 Action::Published(ticket, outcome) => self.published(node, ticket, outcome),
-                Action::Tell(note) => self.note(node, &note),
+                Action::Notify(note) => self.note(node, &note),
             }
         }
         let Some(machine) = &self.nodes[node].machine else { return };
@@ -112,7 +113,7 @@
         }
     }
 
-    fn persist(&mut self, node: usize, write: &Write) {
+    fn persist(&mut self, node: usize, write: &FileWrite) {
         let of = &self.nodes[node];
         let saved = write.save(&of.disk, &of.name);
         let takes = MS / 2 + of.disk.takes(WRITE_STEPS);
@@ -121,19 +122,19 @@
         self.push(self.now + takes, Ev::Host { node, start, done });
     }
 
-    fn note(&mut self, node: usize, note: &Note) {
+    fn note(&mut self, node: usize, note: &Notification) {
         self.line(Some(node), || format!("{note:?}"));
         let kind = match note {
-            Note::InForce(_) => return,
-            Note::Refused(..) => "refused",
-            Note::BadContent(..) => "bad content",
-            Note::BadChain(_) => "bad chain",
-            Note::SetAside(..) => {
+            Notification::InForce(_) => return,
+            Notification::Refused(..) => "refused",
+            Notification::DigestMismatch(..) => "bad content",
+            Notification::ChainMismatch(_) => "bad chain",
+            Notification::SetAside(..) => {
                 self.watch.begins_anew(node);
                 "set aside"
             }
-            Note::DiskTakes(_) => "disk",
-            Note::LogIsLower(_) => "log is lower",
+            Notification::StorageAvailable(_) => "disk",
+            Notification::LogBehind(_) => "log is lower",
         };
         *self.played.notes.entry(kind).or_default() += 1;
     }
--- a/crates/fault-injection/src/configuration/judging.rs
+++ b/crates/fault-injection/src/configuration/judging.rs
@@ -34,8 +34,9 @@
             let Some(machine) = &self.nodes[observer].machine else { continue };
             let overview = machine.overview(self.now);
             let others = machine.peers().iter().filter(|peer| peer.alive);
-            let live: Vec<_> =
-                others.map(|peer| (number(peer.address), machine.known_at(self.now, &peer.name))).collect();
+            let live: Vec<_> = others
+                .map(|peer| (number(peer.address), machine.reported_revision(self.now, &peer.name)))
+                .collect();
             if self.now > 60 * SECOND {
                 self.looks.0 += overview.live;
                 self.looks.1 += overview.unknown.count;
@@ -66,7 +67,7 @@
             if refused.is_some_and(|(id, _)| id >= latest) {
                 continue;
             }
-            let inside = machine.inside();
+            let inside = machine.debug_summary();
             self.watch.late(self.now, node, latest, &inside);
         }
     }
--- a/crates/fault-injection/src/configuration/node.rs
+++ b/crates/fault-injection/src/configuration/node.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use merlinfold_distribution::{
-    Action, Defect, Distribution, Identity, Name, Peer, RevisionId, Saved, Tuning,
+    Action, Defect, Distribution, Identity, Name, Peer, RevisionId, StoredState, Tuning,
 };
 use merlinfold_simulation::seed::mix;
 use merlinfold_simulation::Nanos;
@@ -88,7 +88,8 @@
         self.starts += 1;
         (self.paused, self.down_since, self.scheduled) = (false, None, None);
         self.disk.start(if world.lasting { kept } else { Kept::Empty }, None);
-        let saved = if world.lasting { Saved::load(&self.disk, &self.name).0 } else { Saved::default() };
+        let saved =
+            if world.lasting { StoredState::load(&self.disk, &self.name).0 } else { StoredState::default() };
         let id = Identity { cluster: 7, name: self.name.clone(), zone: world.trial.zone(number).into() };
         let max_format = MAX_FORMAT - u16::from(self.is_old);
         let tuning = Tuning { max_format, disk: world.lasting, defect, ..Tuning::default() };
--- a/crates/fault-injection/src/configuration/publishing.rs
+++ b/crates/fault-injection/src/configuration/publishing.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use merlinfold_distribution::{
-    Announcement, Delta, Digest, Document, Event, ProposalError, Publication, PublishError, RevisionId,
-    Ticket, Write,
+    Announcement, Delta, Digest, Document, Event, FileWrite, ProposalError, Publication, PublishError,
+    RevisionId, Ticket,
 };
 use merlinfold_simulation::{Nanos, MS, SECOND};
 use rand::seq::SliceRandom;
@@ -112,7 +112,7 @@
         };
         self.watch.agreed(announcement);
         let of = &self.nodes[node];
-        let saved = Write::InForce(Document { announcement, bytes }).save(&of.disk, &of.name);
+        let saved = FileWrite::InForce(Document { announcement, bytes }).save(&of.disk, &of.name);
         debug_assert!(saved.is_ok(), "nothing is wrong with the disk yet");
     }
 
@@ -147,7 +147,7 @@
             return;
         }
         let Some(machine) = &self.nodes[node].machine else { return };
-        let held = machine.held().cloned();
+        let held = machine.verified_document().cloned();
         let number = held.as_ref().map_or(0, |held| held.announcement.id.number);
         let large = self.world.kind == Kind::Large;
         let length = if large { LARGE } else { SMALL };
--- a/crates/fault-injection/tests/configuration.rs
+++ b/crates/fault-injection/tests/configuration.rs
@@ -90,10 +90,10 @@
 fn each_double_is_caught_by_its_law() {
     for (defect, law, kind) in [
         (Defect::AppliesUncommitted, "committed first", Kind::Faults),
-        (Defect::AppliesHalf, "whole and verified", Kind::Faults),
-        (Defect::TakesLower, "never lower", Kind::LaterDisk),
+        (Defect::AppliesIncomplete, "whole and verified", Kind::Faults),
+        (Defect::AppliesLower, "never lower", Kind::LaterDisk),
         (Defect::SkipsVerification, "whole and verified", Kind::Corrupt),
-        (Defect::SilenceIsApplied, "silence is not applied", Kind::Faults),
+        (Defect::CountsSilentAsApplied, "silence is not applied", Kind::Faults),
     ] {
         let caught = (0..40).any(|seed| {
             let played = play(&draw(seed, 9, kind), Some(defect), false).unwrap();
--- a/crates/fleet/src/configuration/handle.rs
+++ b/crates/fleet/src/configuration/handle.rs
@@ -93,11 +93,11 @@
         let (answer, answered) = oneshot::channel();
         self.asks.try_send(Asked { change, answer }).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => PublishError::Busy,
-            mpsc::error::TrySendError::Closed(_) => PublishError::Ended,
+            mpsc::error::TrySendError::Closed(_) => PublishError::NotParticipating,
         })?;
         match timeout(PATIENCE, answered).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => Err(PublishError::Ended),
+            Ok(Err(_)) => Err(PublishError::NotParticipating),
             Err(_) => Err(PublishError::Unconfirmed),
         }
     }
--- a/crates/fleet/src/configuration/part.rs
+++ b/crates/fleet/src/configuration/part.rs
@@ -8,8 +8,9 @@
 
 use merlinfold_config::Configuration as Settings;
 use merlinfold_distribution::{
-    Action, Announcement, Content, Distribution, Document, Event, Identity, LogState, Nanos, Note, Peer,
-    ProposalError, Publication, PublishError, Rejection, RevisionId, Saved, Ticket, Tuning, Write, MARK, MS,
+    Action, Announcement, Content, Distribution, Document, Event, FileWrite, Identity, LogState, Nanos,
+    Notification, Peer, ProposalError, Publication, PublishError, Rejection, RevisionId, StoredState, Ticket,
+    Tuning, MAGIC, MS,
 };
 use merlinfold_membership::Membership;
 use tokio::sync::{mpsc, oneshot};
@@ -78,7 +79,7 @@
 impl ConfigurationPart {
     /// Whether a datagram is the distribution's.
     pub fn is_for(bytes: &[u8]) -> bool {
-        bytes.starts_with(&MARK)
+        bytes.starts_with(&MAGIC)
     }
 
     /// With what the disk holds.
@@ -87,7 +88,7 @@
         let name = id.name.to_string();
         let saved = match disk.clone() {
             Some((folder, disks)) => load(folder, disks, &name).await,
-            None => Saved::default(),
+            None => StoredState::default(),
         };
         let tuning = Tuning {
             max_format: content.max_format(),
@@ -238,16 +239,17 @@
                         let _ = answer.send(outcome); // who has left wants no answer
                     }
                 }
-                Action::Tell(note) => self.note(now, note),
+                Action::Notify(note) => self.note(now, note),
             }
         }
         let is = |told: &Option<Document>, document: Option<&Document>| {
             told.as_ref().map(|document| document.announcement)
                 == document.map(|document| document.announcement)
         };
-        for (told, document) in
-            [(&self.tells.in_force, self.machine.in_force()), (&self.tells.held, self.machine.held())]
-        {
+        for (told, document) in [
+            (&self.tells.in_force, self.machine.in_force()),
+            (&self.tells.held, self.machine.verified_document()),
+        ] {
             if !is(&told.borrow(), document) {
                 told.send_replace(document.cloned());
             }
@@ -262,7 +264,7 @@
         });
     }
 
-    fn persist(&self, write: Write) {
+    fn persist(&self, write: FileWrite) {
         let Some((folder, disks)) = self.disk.clone() else { return };
         let name = self.name.clone();
         self.work(move || {
@@ -275,30 +277,30 @@
         });
     }
 
-    fn note(&mut self, now: Nanos, note: Note) {
+    fn note(&mut self, now: Nanos, note: Notification) {
         match note {
-            Note::InForce(announcement) => {
+            Notification::InForce(announcement) => {
                 let (revision, digest) = (announcement.id, announcement.digest);
                 info!(%revision, %digest, "configuration: in force");
             }
-            Note::Refused(revision, why) => {
+            Notification::Refused(revision, why) => {
                 warn!(%revision, why, "configuration: refused; the revision before stays in force");
             }
-            Note::BadContent(node, revision) => {
+            Notification::DigestMismatch(node, revision) => {
                 warn!(%node, %revision, "configuration: a node sent content of another digest; fetched elsewhere");
             }
-            Note::BadChain(revision) => {
+            Notification::ChainMismatch(revision) => {
                 warn!(%revision, "configuration: deltas do not lead to the announced digest; fetched as a whole");
             }
-            Note::SetAside(revision, why) => {
+            Notification::SetAside(revision, why) => {
                 self.content.set_aside(revision);
                 warn!(%revision, why, "configuration: the disk's revision is set aside");
             }
-            Note::DiskTakes(true) => info!("configuration: kept on the disk again"),
-            Note::DiskTakes(false) => {
+            Notification::StorageAvailable(true) => info!("configuration: kept on the disk again"),
+            Notification::StorageAvailable(false) => {
                 warn!("configuration: the disk does not keep it; serving does not depend on it")
             }
-            Note::LogIsLower(announced) => {
+            Notification::LogBehind(announced) => {
                 warn!(%announced, "configuration: the log announces a lower revision than is held here");
             }
         }
@@ -322,9 +324,9 @@
     members.members(now).into_iter().map(peer).collect()
 }
 
-async fn load(folder: PathBuf, disks: Disks, name: &str) -> Saved {
+async fn load(folder: PathBuf, disks: Disks, name: &str) -> StoredState {
     let (name, at) = (name.to_owned(), folder.display().to_string());
-    let loaded = spawn_blocking(move || disks.open(&folder).map(|disk| Saved::load(&*disk, &name)));
+    let loaded = spawn_blocking(move || disks.open(&folder).map(|disk| StoredState::load(&*disk, &name)));
     match timeout(LOAD_WITHIN, loaded).await {
         Ok(Ok(Ok((saved, faults)))) => {
             for fault in faults {
@@ -334,11 +336,11 @@
         }
         Ok(Ok(Err(error))) => {
             warn!(folder = at, %error, "configuration: the folder cannot be opened: begins with nothing");
-            Saved::default()
+            StoredState::default()
         }
         _ => {
             warn!(folder = at, "configuration: the disk does not answer: begins with nothing");
-            Saved::default()
+            StoredState::default()
         }
     }
 }
--- a/crates/fleet/src/configuration/view.rs
+++ b/crates/fleet/src/configuration/view.rs
@@ -78,7 +78,7 @@
             refused_here: refused(overview.refused_here),
             set_aside: refused(overview.set_aside),
             unsaved: overview.unsaved,
-            log_silent_ms: overview.log_heard.map(|nanos| nanos / MS),
+            log_silent_ms: overview.log_fresh_age.map(|nanos| nanos / MS),
             live: overview.live,
             applied: overview.applied,
             behind: overview.behind.count,
--- a/crates/fleet/src/log/part.rs
+++ b/crates/fleet/src/log/part.rs
@@ -176,7 +176,7 @@
                 Ok(Ok(_)) => Ok(()),
                 Ok(Err(NotAgreed::SetAside(Refusal::Revision(_)))) => Err(ProposalError::Superseded),
                 Ok(Err(NotAgreed::Unconfirmed)) | Err(_) => Err(ProposalError::Unconfirmed),
-                Ok(Err(other)) => Err(ProposalError::NotTaken(other.to_string())),
+                Ok(Err(other)) => Err(ProposalError::Rejected(other.to_string())),
             };
             proposal.tell(outcome).await;
         });
--- a/crates/fleet/tests/configuration.rs
+++ b/crates/fleet/tests/configuration.rs
@@ -149,7 +149,7 @@
         node.task.abort();
     }
     let error = publish(&nodes[2], b"second").await.unwrap_err();
-    assert_eq!(error, PublishError::NotKept { kept: 1, voters: 3 });
+    assert_eq!(error, PublishError::NotStaged { staged: 1, voters: 3 });
     assert!(nodes.iter().all(|node| number(node) == 1));
     until("it says how old it is", || {
         nodes[2].handle.view().log_silent_ms.is_some_and(|silent| silent > 3_000)
--- a/crates/node/src/configuration/distributed.rs
+++ b/crates/node/src/configuration/distributed.rs
@@ -73,9 +73,9 @@
         PublishError::Unconfirmed => PublicationError::Unconfirmed,
         PublishError::Behind
         | PublishError::Busy
-        | PublishError::NotKept { .. }
-        | PublishError::NotTaken(_)
-        | PublishError::Ended => PublicationError::Unavailable(text),
+        | PublishError::NotStaged { .. }
+        | PublishError::ProposalRejected(_)
+        | PublishError::NotParticipating => PublicationError::Unavailable(text),
     }
 }
 
