--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -11,14 +11,14 @@
 pub mod bounds;
 mod config;
 mod content;
-mod fetch;
+mod download;
 mod history;
 mod machine;
 mod overview;
 mod reports;
 mod revision;
-mod saved;
 mod server;
+mod stored_state;
 mod wire;
 
 pub use config::{Defect, Identity, Name, Nanos, Peer, Tuning, MS, SECOND};
@@ -28,7 +28,7 @@
 };
 pub use overview::{NodeCount, Overview};
 pub use revision::{Announcement, Digest, RevisionId, REGISTER_KEY};
-pub use saved::{Document, FileWrite, StagedContent, StoredState, STORED_STATE_VERSION};
+pub use stored_state::{Document, FileWrite, StagedContent, StoredState, STORED_STATE_VERSION};
 pub use wire::{
     decode, encode, Body, DatagramError, Envelope, Report, Transfer, TransferKind, MAGIC, VERSION,
 };
--- a/crates/distribution/src/machine/applying.rs
+++ b/crates/distribution/src/machine/applying.rs
@@ -9,7 +9,7 @@
 use crate::content::Rejection;
 use crate::history::Link;
 use crate::revision::{Announcement, Digest, RevisionId};
-use crate::saved::{Document, StagedContent};
+use crate::stored_state::{Document, StagedContent};
 use crate::wire::TransferKind;
 
 /// A document that deltas may lead on from. Nobody has to vouch for it: what is applied is the result, whose digest the
--- a/crates/distribution/src/machine/fetching.rs
+++ b/crates/distribution/src/machine/fetching.rs
@@ -7,7 +7,7 @@
     MAX_RETRY_DELAY, MIN_RETRY_DELAY, PIECE_BYTES, RETARGET_DELAY,
 };
 use crate::config::{Defect, Name, Nanos, Peer};
-use crate::fetch::Download;
+use crate::download::Download;
 use crate::revision::{Announcement, Digest, RevisionId};
 use crate::wire::{Body, Transfer, TransferKind};
 
--- a/crates/distribution/src/machine/following.rs
+++ b/crates/distribution/src/machine/following.rs
@@ -4,7 +4,7 @@
 use crate::bounds::{MAX_ANNOUNCEMENTS, SET_ASIDE_DELAY};
 use crate::config::{Defect, Nanos};
 use crate::revision::{Announcement, RevisionId};
-use crate::saved::FileWrite;
+use crate::stored_state::FileWrite;
 
 impl Distribution {
     pub(super) fn follow(&mut self, now: Nanos, state: LogState, out: &mut Vec<Action>) {
--- a/crates/distribution/src/machine/publishing.rs
+++ b/crates/distribution/src/machine/publishing.rs
@@ -11,7 +11,7 @@
 use crate::content::Delta;
 use crate::history::Link;
 use crate::revision::{Announcement, Digest, RevisionId};
-use crate::saved::StagedContent;
+use crate::stored_state::StagedContent;
 use crate::wire::{Body, Transfer, TransferKind};
 
 /// Names a publication at its node.
--- a/crates/distribution/src/machine/saving.rs
+++ b/crates/distribution/src/machine/saving.rs
@@ -4,7 +4,7 @@
 use crate::bounds::{SAVE_INTERVAL, SAVE_RETRY_DELAY};
 use crate::config::Nanos;
 use crate::revision::RevisionId;
-use crate::saved::FileWrite;
+use crate::stored_state::FileWrite;
 
 /// What is on the disk, and on its way there.
 #[derive(Debug, Default)]
--- a/crates/distribution/src/machine/staging.rs
+++ b/crates/distribution/src/machine/staging.rs
@@ -3,9 +3,9 @@
 use super::{Action, Distribution};
 use crate::bounds::{MAX_CONTENT_BYTES, MAX_PIECES_PULLED, MAX_STAGED, STAGED_TTL};
 use crate::config::{Defect, Name, Nanos};
-use crate::fetch::Download;
+use crate::download::Download;
 use crate::revision::{Announcement, Digest};
-use crate::saved::{FileWrite, StagedContent};
+use crate::stored_state::{FileWrite, StagedContent};
 use crate::wire::{Body, Transfer};
 
 /// Content on its way from its publisher.
--- a/crates/node/src/configuration/active.rs
+++ b/crates/node/src/configuration/active.rs
@@ -129,7 +129,7 @@
     /// Marks a revision as in force once the driver has applied its change.
     pub fn commit(&mut self, prepared: PreparedRevision) {
         let PreparedRevision { id, revision, change } = prepared;
-        self.history.follow(&self.revision, &revision);
+        self.history.record(&self.revision, &revision);
         (self.id, self.revision) = (id, revision);
         self.numbers = change.in_force.numbers.clone();
     }
--- a/crates/node/src/configuration/applier.rs
+++ b/crates/node/src/configuration/applier.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard};
 use std::time::{Instant, SystemTime};
 
-use merlinfold_revision::{DecodeError, Delta, Digest, Document, Fault, NotHeld, Revision};
+use merlinfold_revision::{DecodeError, Delta, Digest, Document, DocumentError, HistoryError, Revision};
 use serde::Serialize;
 use thiserror::Error;
 use tokio::sync::oneshot;
@@ -23,7 +23,7 @@
     Refused(#[from] RevisionError),
     /// The delta does not match the document that it is applied to.
     #[error(transparent)]
-    Delta(#[from] Fault),
+    Delta(#[from] DocumentError),
     /// A delta or document cannot be decoded.
     #[error(transparent)]
     Unreadable(#[from] DecodeError),
@@ -32,7 +32,7 @@
     Unsupported(#[from] UnsupportedError),
     /// The revision to roll back to is not stored here.
     #[error(transparent)]
-    NotStored(#[from] NotHeld),
+    NotStored(#[from] HistoryError),
     /// The process is ending.
     #[error("the node is stopping; use another one")]
     Ended,
@@ -147,7 +147,7 @@
         let mut active = self.active.write().unwrap_or_else(PoisonError::into_inner);
         active.commit(prepared);
         let (id, digest) = (active.id(), active.digest());
-        let earliest_held = active.history().held().next();
+        let earliest_held = active.history().revisions().next();
         drop(active);
         info!(revision = %id, %digest, "configuration in force");
         *self.lock_summary() =
@@ -186,7 +186,7 @@
         let active = self.read_active();
         let revision = active.revision();
         if revision.number != in_force {
-            return Err(Fault::Conflict { base: in_force, in_force: revision.number }.into());
+            return Err(DocumentError::Conflict { base: in_force, in_force: revision.number }.into());
         }
         let document = active.history().document(earlier, revision)?;
         Ok(Delta::between(revision, &document))
--- a/crates/node/src/configuration/baseline.rs
+++ b/crates/node/src/configuration/baseline.rs
@@ -1,7 +1,7 @@
 //! The settings that the node was started with, and how a document overrides them.
 
 use merlinfold_decide::interface::{Class, DynamicClassSettings, DynamicSettings, Nanos, Settings};
-use merlinfold_revision::bounds::WHOLE_SHARE;
+use merlinfold_revision::bounds::TOTAL_SHARE;
 use merlinfold_revision::{ClassProperties, Document, Limit, Tenant, Unit};
 use merlinfold_settings::{NameTable, NameTables};
 
@@ -146,7 +146,7 @@
 /// fleet's limit.
 fn quota(tenant: &Tenant, fleet_requests_per_1000_s: Option<u64>) -> f64 {
     let own = tenant.requests_per_1000_s.map_or(f64::INFINITY, |requests| requests as f64 / 1e3);
-    let share = f64::from(tenant.share) / f64::from(WHOLE_SHARE);
+    let share = f64::from(tenant.share) / f64::from(TOTAL_SHARE);
     let shared = match fleet_requests_per_1000_s {
         Some(requests) if tenant.share > 0 => share * requests as f64 / 1e3,
         _ => f64::INFINITY,
--- a/crates/node/src/console/configuration.rs
+++ b/crates/node/src/console/configuration.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Method, Response, StatusCode};
-use merlinfold_revision::{Delta, Document, Fault, FORMAT_VERSION};
+use merlinfold_revision::{Delta, Document, DocumentError, FORMAT_VERSION};
 use serde::{Deserialize, Serialize};
 use tokio::sync::Mutex;
 use tokio::task::spawn_blocking;
@@ -185,7 +185,9 @@
 
 fn apply_error(error: ApplyError) -> ErrorResponse {
     let status = match &error {
-        ApplyError::Delta(Fault::Conflict { .. } | Fault::OtherContent { .. }) => StatusCode::CONFLICT,
+        ApplyError::Delta(DocumentError::Conflict { .. } | DocumentError::DigestMismatch { .. }) => {
+            StatusCode::CONFLICT
+        }
         ApplyError::NotStored(_) => StatusCode::CONFLICT,
         ApplyError::Ended => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::BAD_REQUEST,
--- a/crates/revision/src/bounds.rs
+++ b/crates/revision/src/bounds.rs
@@ -19,7 +19,7 @@
 pub const MAX_ENCODED_BYTES: usize = 4 << 20;
 
 /// The whole of what tenants share, in the unit of [`Tenant::share`](crate::Tenant::share).
-pub const WHOLE_SHARE: u32 = 1_000_000_000;
+pub const TOTAL_SHARE: u32 = 1_000_000_000;
 /// Largest [`Tenant::requests_per_1000_s`](crate::Tenant::requests_per_1000_s): a million requests a second.
 pub const MAX_REQUESTS_PER_1000_S: u64 = 1_000_000_000;
 /// Largest [`ClassProperties::aim_ms`](crate::ClassProperties::aim_ms): ten minutes.
@@ -30,6 +30,6 @@
 pub const MAX_LATE_WORTH: u32 = 1_000_000;
 
 /// Changes that a [`History`](crate::History) holds.
-pub const MAX_HISTORY: usize = 256;
+pub const MAX_HISTORY_DELTAS: usize = 256;
 /// Bytes of them.
 pub const MAX_HISTORY_BYTES: usize = 4 << 20;
--- a/crates/revision/src/delta.rs
+++ b/crates/revision/src/delta.rs
@@ -7,9 +7,9 @@
 use crate::bounds::MAX_ENCODED_BYTES;
 use crate::digest::Digest;
 use crate::document::{ClassProperties, Document, Limit, Route, Section, Tenant};
-use crate::entries;
-use crate::fault::Fault;
+use crate::error::DocumentError;
 use crate::revision::Revision;
+use crate::unique_keys;
 
 /// The revision that a delta is based on. Number and digest together also tell two histories apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,10 +26,10 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Changes<T: for<'read> Deserialize<'read>> {
     /// Entries that are added or replaced.
-    #[serde(deserialize_with = "entries::unique")]
+    #[serde(deserialize_with = "unique_keys::unique_map")]
     pub set: BTreeMap<String, T>,
     /// Keys that are removed.
-    #[serde(deserialize_with = "entries::unique_set")]
+    #[serde(deserialize_with = "unique_keys::unique_set")]
     pub remove: BTreeSet<String>,
 }
 
@@ -85,7 +85,7 @@
     }
 
     /// The document after the change, valid and whole.
-    pub fn apply(&self, in_force: &Revision) -> Result<Document, Fault> {
+    pub fn apply(&self, in_force: &Revision) -> Result<Document, DocumentError> {
         self.check_base(in_force)?;
         let document = &*in_force.document;
         let changed = Document {
@@ -95,33 +95,33 @@
             classes: self.classes.apply(Section::Classes, &document.classes)?,
         };
         if changed == *document {
-            return Err(Fault::NoChange);
+            return Err(DocumentError::NoChange);
         }
         self.check_removed_classes(&changed)?;
         changed.validate()?;
         match changed.encode().len() {
-            bytes if bytes > MAX_ENCODED_BYTES => Err(Fault::TooLong { bytes }),
+            bytes if bytes > MAX_ENCODED_BYTES => Err(DocumentError::TooLong { bytes }),
             _ => Ok(changed),
         }
     }
 
-    fn check_base(&self, in_force: &Revision) -> Result<(), Fault> {
+    fn check_base(&self, in_force: &Revision) -> Result<(), DocumentError> {
         let base = self.base.revision;
         if base != in_force.number {
-            return Err(Fault::Conflict { base, in_force: in_force.number });
+            return Err(DocumentError::Conflict { base, in_force: in_force.number });
         }
         if self.base.digest != in_force.digest {
-            return Err(Fault::OtherContent { base });
+            return Err(DocumentError::DigestMismatch { base });
         }
         Ok(())
     }
 
     /// A route that has lost its class by this delta is told as the removal that did it.
-    fn check_removed_classes(&self, changed: &Document) -> Result<(), Fault> {
+    fn check_removed_classes(&self, changed: &Document) -> Result<(), DocumentError> {
         let uses = |(_, route): &(&String, &Route)| self.classes.remove.contains(&route.class);
         match changed.routes.iter().find(uses) {
             Some((prefix, route)) => {
-                Err(Fault::ClassInUse { class: route.class.clone(), prefix: prefix.clone() })
+                Err(DocumentError::ClassInUse { class: route.class.clone(), prefix: prefix.clone() })
             }
             None => Ok(()),
         }
@@ -138,14 +138,16 @@
         }
     }
 
-    fn apply(&self, section: Section, entries: &BTreeMap<String, T>) -> Result<BTreeMap<String, T>, Fault> {
+    fn apply(
+        &self, section: Section, entries: &BTreeMap<String, T>,
+    ) -> Result<BTreeMap<String, T>, DocumentError> {
         if let Some(key) = self.remove.iter().find(|key| self.set.contains_key(*key)) {
-            return Err(Fault::SetAndRemoved { section, key: key.clone() });
+            return Err(DocumentError::SetAndRemoved { section, key: key.clone() });
         }
         let mut changed = entries.clone();
         for key in &self.remove {
             if changed.remove(key).is_none() {
-                return Err(Fault::NotThere { section, key: key.clone() });
+                return Err(DocumentError::NotFound { section, key: key.clone() });
             }
         }
         changed.extend(self.set.iter().map(|(key, entry)| (key.clone(), entry.clone())));
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::entries;
+use crate::unique_keys;
 
 /// Where requests whose path starts with a prefix go.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -84,16 +84,16 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
     /// Routes by path prefix; the longest prefix that fits decides.
-    #[serde(deserialize_with = "entries::unique")]
+    #[serde(deserialize_with = "unique_keys::unique_map")]
     pub routes: BTreeMap<String, Route>,
     /// Tenants by name.
-    #[serde(deserialize_with = "entries::unique")]
+    #[serde(deserialize_with = "unique_keys::unique_map")]
     pub tenants: BTreeMap<String, Tenant>,
     /// Limits by name.
-    #[serde(deserialize_with = "entries::unique")]
+    #[serde(deserialize_with = "unique_keys::unique_map")]
     pub limits: BTreeMap<String, Limit>,
     /// Classes by name.
-    #[serde(deserialize_with = "entries::unique")]
+    #[serde(deserialize_with = "unique_keys::unique_map")]
     pub classes: BTreeMap<String, ClassProperties>,
 }
 
--- a/crates/revision/src/encoding.rs
+++ b/crates/revision/src/encoding.rs
@@ -11,13 +11,13 @@
 use crate::delta::Delta;
 use crate::digest::Digest;
 use crate::document::Document;
-use crate::fault::Fault;
+use crate::error::DocumentError;
 
 /// Version of the encoding that this program writes, and the only one that it reads.
 pub const FORMAT_VERSION: u16 = 1;
 
-const DOCUMENT_MARK: [u8; 4] = *b"mfcd";
-const DELTA_MARK: [u8; 4] = *b"mfcc";
+const DOCUMENT_MAGIC: [u8; 4] = *b"mfcd";
+const DELTA_MAGIC: [u8; 4] = *b"mfcc";
 const HEADER_BYTES: usize = 6;
 
 /// Why bytes are no document or delta for this program.
@@ -30,7 +30,7 @@
     UnknownVersion(u16),
     /// The bytes are something else.
     #[error("no {0}: the first bytes are those of something else")]
-    OtherKind(&'static str),
+    WrongKind(&'static str),
     /// The bytes are cut short or damaged.
     #[error("{0}: cut short or damaged; fetch it again")]
     Malformed(&'static str),
@@ -42,18 +42,18 @@
     TooLong(usize),
     /// It can be read, and cannot be in force.
     #[error(transparent)]
-    Invalid(#[from] Fault),
+    Invalid(#[from] DocumentError),
 }
 
 impl Document {
     /// The canonical encoding.
     pub fn encode(&self) -> Vec<u8> {
-        encode(DOCUMENT_MARK, self)
+        encode(DOCUMENT_MAGIC, self)
     }
 
     /// Reads a canonical encoding; the document is valid.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let document: Document = decode(DOCUMENT_MARK, "document", bytes)?;
+        let document: Document = decode(DOCUMENT_MAGIC, "document", bytes)?;
         document.validate()?;
         Ok(document)
     }
@@ -67,12 +67,12 @@
 impl Delta {
     /// The canonical encoding.
     pub fn encode(&self) -> Vec<u8> {
-        encode(DELTA_MARK, self)
+        encode(DELTA_MAGIC, self)
     }
 
     /// Reads a canonical encoding. Whether it fits a document shows when it is applied.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        decode(DELTA_MARK, "delta", bytes)
+        decode(DELTA_MAGIC, "delta", bytes)
     }
 
     /// The digest of the canonical encoding.
@@ -81,35 +81,35 @@
     }
 }
 
-fn encode(mark: [u8; 4], content: &impl Serialize) -> Vec<u8> {
+fn encode(magic: [u8; 4], content: &impl Serialize) -> Vec<u8> {
     let mut header = Vec::with_capacity(HEADER_BYTES);
-    header.extend(mark);
+    header.extend(magic);
     header.extend(FORMAT_VERSION.to_be_bytes());
     postcard::to_extend(content, header).expect("maps of plain values can always be encoded")
 }
 
 fn decode<T: Serialize + DeserializeOwned>(
-    mark: [u8; 4], kind: &'static str, bytes: &[u8],
+    magic: [u8; 4], kind: &'static str, bytes: &[u8],
 ) -> Result<T, DecodeError> {
     if bytes.len() > MAX_ENCODED_BYTES {
         return Err(DecodeError::TooLong(bytes.len()));
     }
-    let content = check_header(mark, kind, bytes)?;
+    let content = check_header(magic, kind, bytes)?;
     let (decoded, rest) = postcard::take_from_bytes(content).map_err(|_| DecodeError::Malformed(kind))?;
     if !rest.is_empty() {
         return Err(DecodeError::Malformed(kind));
     }
-    if encode(mark, &decoded) != bytes {
+    if encode(magic, &decoded) != bytes {
         return Err(DecodeError::NotCanonical(kind));
     }
     Ok(decoded)
 }
 
 /// What follows the header.
-fn check_header<'a>(mark: [u8; 4], kind: &'static str, bytes: &'a [u8]) -> Result<&'a [u8], DecodeError> {
+fn check_header<'a>(magic: [u8; 4], kind: &'static str, bytes: &'a [u8]) -> Result<&'a [u8], DecodeError> {
     let (header, content) = bytes.split_at_checked(HEADER_BYTES).ok_or(DecodeError::Malformed(kind))?;
-    if header[..4] != mark {
-        return Err(DecodeError::OtherKind(kind));
+    if header[..4] != magic {
+        return Err(DecodeError::WrongKind(kind));
     }
     match u16::from_be_bytes([header[4], header[5]]) {
         FORMAT_VERSION => Ok(content),
--- a/crates/revision/src/fault.rs
+++ b/crates/revision/src/error.rs
@@ -7,7 +7,7 @@
 
 /// Why a delta or document is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum DocumentError {
     /// The revision in force is not the one that the delta is based on.
     #[error(
         "base: {base}, but revision {in_force} is in force: another change came first; read it again and decide anew"
@@ -22,7 +22,7 @@
     #[error(
         "base: revision {base} has another digest here: the fleet's log began anew; read it again and decide anew"
     )]
-    OtherContent {
+    DigestMismatch {
         /// The revision that the delta names.
         base: u64,
     },
@@ -39,31 +39,31 @@
     },
     /// A key to be removed is not there.
     #[error("{section}.{key}: not there, so it cannot be removed; leave it out of `remove`")]
-    NotThere {
+    NotFound {
         /// Where it should stand.
         section: Section,
         /// The key.
         key: String,
     },
     /// A key that no entry can have.
-    #[error("{section}.{key:?}: {wrong}; choose another key")]
-    Key {
+    #[error("{section}.{key:?}: {reason}; choose another key")]
+    InvalidKey {
         /// Where it stands.
         section: Section,
         /// The key.
         key: String,
         /// What is wrong with it.
-        wrong: &'static str,
+        reason: &'static str,
     },
     /// A section has too many entries.
-    #[error("{section}: {count} entries, {most} are possible; remove some in the same delta")]
+    #[error("{section}: {count} entries, {max} are possible; remove some in the same delta")]
     TooMany {
         /// The section.
         section: Section,
         /// Entries that it would have.
         count: usize,
         /// Entries that it may have.
-        most: usize,
+        max: usize,
     },
     /// Routes lead to too many different services.
     #[error("routes: {count} different services, {MAX_SERVICES} are possible; merge or remove some in the same delta")]
@@ -73,7 +73,7 @@
     },
     /// The name of a route's service is none.
     #[error("routes.{prefix}.service: {service:?} is no name; 1 to {MAX_NAME_BYTES} printable characters without spaces")]
-    Service {
+    InvalidService {
         /// The route.
         prefix: String,
         /// The service that it names.
@@ -98,7 +98,7 @@
         prefix: String,
     },
     /// A number is out of its bounds.
-    #[error("{section}.{key}.{field}: {value} is not within {least} and {most}; choose a value that is")]
+    #[error("{section}.{key}.{field}: {value} is not within {min} and {max}; choose a value that is")]
     OutOfBounds {
         /// Where it stands.
         section: Section,
@@ -109,13 +109,13 @@
         /// Its value.
         value: u64,
         /// Least value that is possible.
-        least: u64,
+        min: u64,
         /// Largest value that is possible.
-        most: u64,
+        max: u64,
     },
     /// Tenants have more than there is.
-    #[error("tenants: shares add up to {sum}, {WHOLE_SHARE} is all there is; lower some in the same delta")]
-    ShareSum {
+    #[error("tenants: shares add up to {sum}, {TOTAL_SHARE} is all there is; lower some in the same delta")]
+    ShareSumExceeded {
         /// Their sum.
         sum: u64,
     },
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -4,11 +4,11 @@
 
 use thiserror::Error;
 
-use crate::bounds::{MAX_HISTORY, MAX_HISTORY_BYTES};
+use crate::bounds::{MAX_HISTORY_BYTES, MAX_HISTORY_DELTAS};
 use crate::delta::Delta;
 use crate::document::Document;
 use crate::encoding::DecodeError;
-use crate::fault::Fault;
+use crate::error::DocumentError;
 use crate::revision::Revision;
 
 /// One step back.
@@ -22,7 +22,7 @@
 
 /// Why an earlier document cannot be made.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum NotHeld {
+pub enum HistoryError {
     /// It is too old, has never been, or came before this process.
     #[error("revision {revision} is not held here, {} is the earliest; ask a node that has been up for longer", known(.earliest))]
     Unknown {
@@ -36,9 +36,9 @@
     Unreadable(#[from] DecodeError),
 }
 
-impl From<Fault> for NotHeld {
-    fn from(fault: Fault) -> Self {
-        NotHeld::Unreadable(fault.into())
+impl From<DocumentError> for HistoryError {
+    fn from(fault: DocumentError) -> Self {
+        HistoryError::Unreadable(fault.into())
     }
 }
 
@@ -55,11 +55,11 @@
 
 impl History {
     /// Notes that one revision has followed another.
-    pub fn follow(&mut self, before: &Revision, after: &Revision) {
+    pub fn record(&mut self, before: &Revision, after: &Revision) {
         let delta = Delta::between(after, &before.document).encode();
         self.bytes += delta.len();
         self.steps.push_back(Step { to: before.number, delta });
-        while self.steps.len() > MAX_HISTORY || self.bytes > MAX_HISTORY_BYTES {
+        while self.steps.len() > MAX_HISTORY_DELTAS || self.bytes > MAX_HISTORY_BYTES {
             let dropped = self.steps.pop_front();
             self.bytes -= dropped.map_or(0, |step| step.delta.len());
         }
@@ -71,14 +71,14 @@
     }
 
     /// Numbers of the revisions that can be gone back to, the earliest first.
-    pub fn held(&self) -> impl Iterator<Item = u64> + '_ {
+    pub fn revisions(&self) -> impl Iterator<Item = u64> + '_ {
         self.steps.iter().map(|step| step.to)
     }
 
     /// The document of an earlier revision, made from the one in force.
-    pub fn document(&self, revision: u64, in_force: &Revision) -> Result<Document, NotHeld> {
-        if !self.held().any(|number| number == revision) {
-            return Err(NotHeld::Unknown { revision, earliest: self.held().next() });
+    pub fn document(&self, revision: u64, in_force: &Revision) -> Result<Document, HistoryError> {
+        if !self.revisions().any(|number| number == revision) {
+            return Err(HistoryError::Unknown { revision, earliest: self.revisions().next() });
         }
         let mut reached = in_force.clone();
         for step in self.steps.iter().rev() {
--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Document`] is the whole configuration at one revision. A [`Delta`] changes it: it names the revision
 //! it is based on and sets or removes single entries. Applying a delta either yields a whole, valid document
-//! or a [`Fault`] that names the key, what is wrong with it and what to do; the base is never modified.
+//! or a [`DocumentError`] that names the key, what is wrong with it and what to do; the base is never modified.
 //!
 //! Both have one canonical encoding with a format version, so the same content has the same [`Digest`] at
 //! every node. The crate has no input or output: how bytes reach a node is left to its caller.
@@ -25,16 +25,16 @@
 mod digest;
 mod document;
 mod encoding;
-mod entries;
-mod fault;
+mod error;
 mod history;
 mod revision;
+mod unique_keys;
 mod validation;
 
 pub use delta::{Base, Changes, Delta};
 pub use digest::{Digest, DigestError};
 pub use document::{ClassProperties, Document, Limit, Route, Section, Tenant, Unit};
 pub use encoding::{DecodeError, FORMAT_VERSION};
-pub use fault::Fault;
-pub use history::{History, NotHeld};
+pub use error::DocumentError;
+pub use history::{History, HistoryError};
 pub use revision::Revision;
--- a/crates/revision/src/entries.rs
+++ b/crates/revision/src/unique_keys.rs
@@ -31,7 +31,7 @@
 }
 
 /// A map in which no key stands twice.
-pub fn unique<'de, T, D>(from: D) -> Result<BTreeMap<String, T>, D::Error>
+pub fn unique_map<'de, T, D>(from: D) -> Result<BTreeMap<String, T>, D::Error>
 where
     T: Deserialize<'de>,
     D: Deserializer<'de>,
--- a/crates/revision/tests/history.rs
+++ b/crates/revision/tests/history.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{any_document, large};
-use merlinfold_revision::bounds::{MAX_HISTORY, MAX_HISTORY_BYTES};
-use merlinfold_revision::{History, NotHeld, Revision};
+use merlinfold_revision::bounds::{MAX_HISTORY_BYTES, MAX_HISTORY_DELTAS};
+use merlinfold_revision::{History, HistoryError, Revision};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
         let revisions: Vec<Revision> =
             documents.into_iter().zip(1..).map(|(document, number)| Revision::new(number, document)).collect();
         let mut history = History::default();
-        revisions.windows(2).for_each(|pair| history.follow(&pair[0], &pair[1]));
+        revisions.windows(2).for_each(|pair| history.record(&pair[0], &pair[1]));
         let (in_force, earlier) = revisions.split_last().unwrap();
         for revision in earlier {
             let document = history.document(revision.number, in_force).unwrap();
@@ -30,7 +30,7 @@
 fn a_revision_that_is_not_held_is_refused_by_its_number() {
     let history = History::default();
     let fault = history.document(7, &Revision::default()).unwrap_err();
-    assert_eq!(fault, NotHeld::Unknown { revision: 7, earliest: None });
+    assert_eq!(fault, HistoryError::Unknown { revision: 7, earliest: None });
     assert!(fault.to_string().contains("none is the earliest"), "{fault}");
 }
 
@@ -43,10 +43,10 @@
     let mut before = Revision::new(0, documents[0].clone());
     for number in 1..=12u64 {
         let after = Revision::new(number, documents[number as usize % 2].clone());
-        history.follow(&before, &after);
+        history.record(&before, &after);
         before = after;
     }
-    let held = history.held().count();
+    let held = history.revisions().count();
     assert!((2..12).contains(&held), "{held} of {MAX_HISTORY_BYTES} bytes");
 }
 
@@ -55,12 +55,12 @@
 fn the_history_is_bounded_in_number() {
     let mut history = History::default();
     let mut before = Revision::default();
-    for number in 1..=MAX_HISTORY as u64 + 5 {
+    for number in 1..=MAX_HISTORY_DELTAS as u64 + 5 {
         let mut document = before.document.as_ref().clone();
         document.limits.insert("l".to_owned(), common::limit(1 + number % 2));
         let after = Revision::new(number, document);
-        history.follow(&before, &after);
+        history.record(&before, &after);
         before = after;
     }
-    assert_eq!(history.held().count(), MAX_HISTORY);
+    assert_eq!(history.revisions().count(), MAX_HISTORY_DELTAS);
 }
--- a/crates/revision/tests/laws.rs
+++ b/crates/revision/tests/properties.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{any_document, large};
-use merlinfold_revision::{DecodeError, Delta, Digest, Document, Fault, Revision, FORMAT_VERSION};
+use merlinfold_revision::{DecodeError, Delta, Digest, Document, DocumentError, Revision, FORMAT_VERSION};
 use proptest::prelude::*;
 
 proptest! {
@@ -16,7 +16,7 @@
         let delta = Delta::between(&in_force, &to);
         let applied = Delta::decode(&delta.encode()).unwrap().apply(&in_force);
         if from == to {
-            prop_assert_eq!(applied, Err(Fault::NoChange));
+            prop_assert_eq!(applied, Err(DocumentError::NoChange));
         } else {
             let applied = applied.unwrap();
             prop_assert_eq!(applied.digest(), to.digest());
@@ -122,7 +122,7 @@
     let mut bytes = Document::default().encode();
     bytes[4..6].copy_from_slice(&(FORMAT_VERSION + 1).to_be_bytes());
     assert_eq!(Document::decode(&bytes), Err(DecodeError::UnknownVersion(2)));
-    assert!(matches!(Delta::decode(&bytes), Err(DecodeError::OtherKind(_))));
+    assert!(matches!(Delta::decode(&bytes), Err(DecodeError::WrongKind(_))));
 }
 
 /// Guards the one encoding: a longer form of the same number is not taken.
--- a/crates/revision/tests/faults.rs
+++ b/crates/revision/tests/rejections.rs
@@ -4,18 +4,18 @@
 
 use common::{class, large, limit, route};
 use merlinfold_revision::bounds::*;
-use merlinfold_revision::{Delta, Document, Fault, Revision, Section, Tenant};
+use merlinfold_revision::{Delta, Document, DocumentError, Revision, Section, Tenant};
 
 fn in_force() -> Revision {
     let mut document = Document::default();
     document.classes.insert("read".to_owned(), class(400));
     document.routes.insert("/g".to_owned(), route("guides", "read"));
-    document.tenants.insert("t".to_owned(), Tenant { share: WHOLE_SHARE / 2, requests_per_1000_s: None });
+    document.tenants.insert("t".to_owned(), Tenant { share: TOTAL_SHARE / 2, requests_per_1000_s: None });
     Revision::new(3, document)
 }
 
 /// What a delta is refused for, and its text.
-fn refused(change: impl FnOnce(&mut Delta)) -> (Fault, String) {
+fn refused(change: impl FnOnce(&mut Delta)) -> (DocumentError, String) {
     let in_force = in_force();
     let mut delta = Delta::new(in_force.base());
     change(&mut delta);
@@ -27,10 +27,10 @@
 #[test]
 fn the_second_of_two_publishers_is_told_of_the_first() {
     let (fault, text) = refused(|delta| delta.base.revision = 2);
-    assert_eq!(fault, Fault::Conflict { base: 2, in_force: 3 });
+    assert_eq!(fault, DocumentError::Conflict { base: 2, in_force: 3 });
     assert!(text.contains("read it again"), "{text}");
     let (fault, _) = refused(|delta| delta.base.digest = Document::default().digest());
-    assert_eq!(fault, Fault::OtherContent { base: 3 });
+    assert_eq!(fault, DocumentError::DigestMismatch { base: 3 });
 }
 
 #[test]
@@ -38,7 +38,7 @@
     let (fault, text) = refused(|delta| {
         delta.routes.set.insert("/x".to_owned(), route("guides", "nothing"));
     });
-    assert_eq!(fault, Fault::UnknownClass { prefix: "/x".to_owned(), class: "nothing".to_owned() });
+    assert_eq!(fault, DocumentError::UnknownClass { prefix: "/x".to_owned(), class: "nothing".to_owned() });
     assert!(text.starts_with("routes./x.class"), "{text}");
 }
 
@@ -47,7 +47,7 @@
     let (fault, text) = refused(|delta| {
         delta.classes.remove.insert("read".to_owned());
     });
-    assert_eq!(fault, Fault::ClassInUse { class: "read".to_owned(), prefix: "/g".to_owned() });
+    assert_eq!(fault, DocumentError::ClassInUse { class: "read".to_owned(), prefix: "/g".to_owned() });
     assert!(text.contains("remove that route"), "{text}");
 }
 
@@ -62,11 +62,11 @@
 
 #[test]
 fn shares_beyond_the_whole_are_refused_with_their_sum() {
-    let more = Tenant { share: WHOLE_SHARE / 2 + 1, requests_per_1000_s: None };
+    let more = Tenant { share: TOTAL_SHARE / 2 + 1, requests_per_1000_s: None };
     let (fault, _) = refused(|delta| {
         delta.tenants.set.insert("u".to_owned(), more);
     });
-    assert_eq!(fault, Fault::ShareSum { sum: u64::from(WHOLE_SHARE) + 1 });
+    assert_eq!(fault, DocumentError::ShareSumExceeded { sum: u64::from(TOTAL_SHARE) + 1 });
 }
 
 #[test]
@@ -92,18 +92,24 @@
         let (fault, _) = refused(|delta| {
             delta.routes.set.insert(prefix.to_owned(), route("guides", "read"));
         });
-        assert!(matches!(fault, Fault::Key { section: Section::Routes, .. }), "{prefix}: {fault}");
+        assert!(
+            matches!(fault, DocumentError::InvalidKey { section: Section::Routes, .. }),
+            "{prefix}: {fault}"
+        );
     }
     for name in ["", "a b", "a\n", &"x".repeat(MAX_NAME_BYTES + 1)] {
         let (fault, _) = refused(|delta| {
             delta.tenants.set.insert(name.to_owned(), Tenant::default());
         });
-        assert!(matches!(fault, Fault::Key { section: Section::Tenants, .. }), "{name}: {fault}");
+        assert!(
+            matches!(fault, DocumentError::InvalidKey { section: Section::Tenants, .. }),
+            "{name}: {fault}"
+        );
     }
     let (fault, _) = refused(|delta| {
         delta.routes.set.insert("/x".to_owned(), route("", "read"));
     });
-    assert!(matches!(fault, Fault::Service { .. }), "{fault}");
+    assert!(matches!(fault, DocumentError::InvalidService { .. }), "{fault}");
 }
 
 #[test]
@@ -112,12 +118,12 @@
         delta.tenants.set.insert("t".to_owned(), Tenant::default());
         delta.tenants.remove.insert("t".to_owned());
     });
-    assert_eq!(fault, Fault::SetAndRemoved { section: Section::Tenants, key: "t".to_owned() });
+    assert_eq!(fault, DocumentError::SetAndRemoved { section: Section::Tenants, key: "t".to_owned() });
     let (fault, _) = refused(|delta| {
         delta.tenants.remove.insert("nobody".to_owned());
     });
-    assert_eq!(fault, Fault::NotThere { section: Section::Tenants, key: "nobody".to_owned() });
-    assert_eq!(refused(|_| {}).0, Fault::NoChange);
+    assert_eq!(fault, DocumentError::NotFound { section: Section::Tenants, key: "nobody".to_owned() });
+    assert_eq!(refused(|_| {}).0, DocumentError::NoChange);
 }
 
 #[test]
@@ -143,11 +149,12 @@
     for n in 0..=MAX_TENANTS - common::TENANTS {
         document.tenants.insert(format!("further-{n}"), Tenant::default());
     }
-    let fault = Fault::TooMany { section: Section::Tenants, count: MAX_TENANTS + 1, most: MAX_TENANTS };
+    let fault =
+        DocumentError::TooMany { section: Section::Tenants, count: MAX_TENANTS + 1, max: MAX_TENANTS };
     assert_eq!(document.validate(), Err(fault));
     let mut document = large();
     for n in 0..=MAX_SERVICES - common::SERVICES {
         document.routes.insert(format!("/s{n}"), route(&format!("further-{n}"), "read"));
     }
-    assert_eq!(document.validate(), Err(Fault::TooManyServices { count: MAX_SERVICES + 1 }));
+    assert_eq!(document.validate(), Err(DocumentError::TooManyServices { count: MAX_SERVICES + 1 }));
 }
