--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -11,22 +11,24 @@
 pub mod bounds;
 mod config;
 mod content;
-mod fetch;
+mod download;
 mod history;
 mod machine;
 mod overview;
 mod reports;
 mod revision;
-mod saved;
 mod server;
+mod stored_state;
 mod wire;
 
 pub use config::{Defect, Identity, Name, Nanos, Peer, Tuning, MS, SECOND};
 pub use content::{Content, Delta, Rejection};
 pub use machine::{
-    Action, Distribution, Event, LogState, Note, ProposalError, Publication, PublishError, Ticket,
+    Action, Distribution, Event, LogState, Notification, ProposalError, Publication, PublishError, Ticket,
 };
 pub use overview::{NodeCount, Overview};
 pub use revision::{Announcement, Digest, RevisionId, REGISTER_KEY};
-pub use saved::{Document, Saved, StagedContent, Write, SAVED_VERSION};
-pub use wire::{encode, read, Body, Envelope, Fault, Report, Transfer, TransferKind, MARK, VERSION};
+pub use stored_state::{Document, FileWrite, StagedContent, StoredState, STORED_STATE_VERSION};
+pub use wire::{
+    decode, encode, Body, DatagramError, Envelope, Report, Transfer, TransferKind, MAGIC, VERSION,
+};
