--- a/crates/decide/src/policy/backoff.rs
+++ b/crates/decide/src/policy/backoff.rs
@@ -4,14 +4,14 @@
 
 use crate::interface::Nanos;
 
-/// Longest delay: a node has to know a change after 6 s, and a call takes up to 3 s.
+/// Longest delay: a node is expected to know a change 6 s after it was made, and a call takes up to 3 s.
 const MAX_WAIT: Nanos = 2_000_000_000;
 
-/// Part of the interval that is the longest delay before the first call.
-const FIRST_SHARE: Nanos = 8;
+/// The longest delay before the first call is the interval divided by this.
+const INITIAL_WAIT_DIVISOR: Nanos = 8;
 
-/// Part of the interval that is the longest delay before the first doubling.
-const BASE_SHARE: Nanos = 16;
+/// The longest delay, before it is doubled with each failure, is the interval divided by this.
+const BASE_WAIT_DIVISOR: Nanos = 16;
 
 const MAX_DOUBLINGS: u32 = 3;
 
@@ -30,13 +30,13 @@
 
     /// Returns the delay before the first call.
     pub fn initial_wait(&self, rng: &mut Rng) -> Nanos {
-        rng.u64(0..=(self.interval / FIRST_SHARE).min(MAX_WAIT))
+        rng.u64(0..=(self.interval / INITIAL_WAIT_DIVISOR).min(MAX_WAIT))
     }
 
     /// Records a failed call and returns the delay before the next one.
     pub fn record_failure(&mut self, rng: &mut Rng) -> Nanos {
         self.failures = self.failures.saturating_add(1);
-        let longest = ((self.interval / BASE_SHARE) << self.failures.min(MAX_DOUBLINGS)).min(MAX_WAIT);
+        let longest = ((self.interval / BASE_WAIT_DIVISOR) << self.failures.min(MAX_DOUBLINGS)).min(MAX_WAIT);
         longest / 2 + rng.u64(0..=longest / 2)
     }
 
--- a/crates/decide/src/policy/constants.rs
+++ b/crates/decide/src/policy/constants.rs
@@ -82,6 +82,7 @@
 /// Fixed-point unit of slopes in the ring: an age of one send at a server of average speed.
 pub const SLOPE_UNIT: f64 = (1u64 << 40) as f64;
 
+/// The ring requires slopes below 2^62.
 pub const MAX_SLOPE: f64 = (1u64 << 61) as f64;
 
 /// Relative change up to which the scale of speeds is kept: smaller changes do not alter the order.
@@ -142,14 +143,15 @@
 /// none come.
 pub const IDLE_MAX_CONGESTION: f64 = MAX_CONGESTION / 2.0;
 
-/// Upper bound on the share of the least valuable requests refused while the node has fewer requests than
-/// servers: a few are admitted to measure the latency.
+/// Upper bound on the share of the least valuable requests refused while servers are taken to be idle: some
+/// are admitted to measure the latency.
 pub const MAX_IDLE_REFUSAL: f64 = 0.6;
 
 /// Multiple of the median tenant's quota usage above which a request counts as over quota once more.
 pub const OVER_QUOTA_MARGIN: f64 = 1.25;
 
-/// Congestion that a failure counts as while answers are slow, and the upper bound of one answer's.
+/// Congestion that a failure counts as while answers are slow, and upper bound of the congestion that a
+/// single answer counts as.
 pub const MAX_CONGESTION: f64 = 8.0;
 
 /// Least weight of one answer in the congestion: a single one may be chance.
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -62,7 +62,7 @@
     depth_stats: [RunningStats; TRACKED_DEPTHS],
     /// Latency of each class.
     latency_stats: Vec<RunningStats>,
-    /// Lowest latency of each class of late, which is its latency without queues.
+    /// Estimated latency of each class without queues: a minimum that slowly follows the mean upwards.
     unloaded_latency: Vec<f64>,
     /// Service times in the servers' load reports.
     service_time: RunningStats,
