--- a/crates/distribution/src/bounds.rs
+++ b/crates/distribution/src/bounds.rs
@@ -1,96 +1,99 @@
-//! Every bound of the distribution, in one place.
+//! Bounds, rates and timeouts of the distribution.
 
 use crate::config::{Nanos, MS, SECOND};
 
-/// Bytes of a datagram at most: fits any path without fragments.
+/// Maximum size of a datagram in bytes; it passes any network path without fragmentation.
 pub const MAX_DATAGRAM: usize = 1_200;
 /// Bytes of content that one datagram carries.
 pub const PIECE_BYTES: usize = 900;
-/// Bytes of a document, and of a delta, at most.
+/// Maximum size of a document, and of a delta, in bytes.
 pub const MAX_CONTENT_BYTES: usize = 4 << 20;
-/// Deltas kept for nodes that are behind.
+/// Maximum number of deltas stored for nodes that are behind.
 pub const MAX_HISTORY_DELTAS: usize = 128;
-/// Bytes of these deltas.
+/// Maximum total size of these deltas in bytes.
 pub const MAX_HISTORY_BYTES: usize = 4 << 20;
-/// A chain of so many bytes is sent in any case, also where the document is shorter: a history without gaps is worth it.
+/// Chains up to this size in bytes are sent even where the document is shorter, because receiving the deltas keeps the
+/// receiver's history without gaps.
 pub const MIN_CHAIN_LIMIT_BYTES: usize = 64 << 10;
-/// Attempts after which a document that was fetched as a base, and from which no chain leads on, is dropped.
+/// A base document from which no chain leads on is dropped after this many attempts.
 pub const MAX_BASE_ATTEMPTS: u32 = 25;
-/// Whole documents kept for nodes that fetch them: the last one, and the one before.
+/// Maximum number of whole documents stored for nodes that fetch them: the latest one and the one before it.
 pub const MAX_SNAPSHOTS: usize = 2;
-/// Contents that a voter keeps before they are announced.
+/// Maximum number of contents that a voter stores before they are announced.
 pub const MAX_STAGED: usize = 4;
-/// After so long content that was not announced is dropped.
+/// Content that has not been announced is dropped after this time.
 pub const STAGED_TTL: Nanos = 60 * SECOND;
-/// Publications under way at one node.
+/// Maximum number of publications in progress at one node.
 pub const MAX_PUBLICATIONS: usize = 4;
-/// Announcements remembered, so that one that is superseded while it is fetched can still be applied.
+/// Maximum number of stored announcements. They are stored so that a revision that is superseded while it is fetched
+/// can still be applied.
 pub const MAX_ANNOUNCEMENTS: usize = 128;
 
-/// Pieces under way to one node.
+/// Maximum number of outstanding pieces of one download.
 pub const PIECE_WINDOW: usize = 64;
-/// Pieces asked for in one datagram.
+/// Maximum number of pieces requested in one datagram.
 pub const MAX_PIECES_PULLED: usize = 16;
-/// Without an answer after so long a request or a pull is repeated.
+/// Time without an answer after which a request or a pull is repeated.
 pub const ANSWER_TIMEOUT: Nanos = 250 * MS;
-/// A piece is asked for again after so many times that the other usually takes,
+/// A piece is requested again after this many smoothed delays of the sender.
 pub const PIECE_TIMEOUT_FACTOR: Nanos = 3;
-/// and at the soonest after this.
+/// Minimum time after which a piece is requested again.
 pub const MIN_PIECE_TIMEOUT: Nanos = 40 * MS;
-/// Without a new piece for so long another node is asked.
+/// Time without a new piece after which another node is asked.
 pub const PROGRESS_TIMEOUT: Nanos = 1_500 * MS;
-/// The shortest time from a failed attempt to the next.
+/// Minimum delay from a failed attempt to the next.
 pub const MIN_RETRY_DELAY: Nanos = 40 * MS;
-/// The longest.
+/// Maximum delay from a failed attempt to the next, before random jitter.
 pub const MAX_RETRY_DELAY: Nanos = SECOND;
-/// How often the time between two attempts is doubled at most, at first.
+/// Maximum number of doublings of the retry delay before [`FULL_BACKOFF_ATTEMPTS`].
 pub const MAX_EARLY_DOUBLINGS: u32 = 2;
-/// After so many attempts nobody may have the content, and it is doubled up to [`MAX_RETRY_DELAY`].
+/// After this many attempts possibly no node has the content, and the delay is doubled up to [`MAX_RETRY_DELAY`].
 pub const FULL_BACKOFF_ATTEMPTS: u32 = 60;
-/// After so long without an offer a later revision is asked for, if there is one. Not at once: few have it yet.
+/// Time without an offer after which a later revision is requested, if there is one. It is not requested at once
+/// because only few nodes have it yet.
 pub const RETARGET_DELAY: Nanos = 2 * SECOND;
-/// A node that has just started waits up to so long before it fetches.
+/// Maximum random delay between the start of a node and its first fetch.
 pub const MAX_START_DELAY: Nanos = SECOND;
 
-/// A transfer of more bytes than this is a large one.
+/// A transfer of more bytes than this counts as large.
 pub const LARGE_TRANSFER_BYTES: usize = 32 << 10;
-/// Transfers of more than one piece that a node serves at once.
+/// Maximum number of concurrent transfers of more than one piece that a node serves.
 pub const MAX_TRANSFERS: usize = 64;
-/// Large ones among them.
+/// Maximum number of large ones among them.
 pub const MAX_LARGE_TRANSFERS: usize = 4;
-/// The same at a voter.
+/// Maximum number of large ones among them at a voter.
 pub const MAX_VOTER_LARGE_TRANSFERS: usize = 1;
-/// A transfer without a pull for so long gives up its place.
+/// A transfer without a pull for this time loses its slot.
 pub const TRANSFER_TIMEOUT: Nanos = 600 * MS;
-/// Bytes a second that a node serves.
+/// Bytes per second that a node serves.
 pub const SERVE_RATE: u64 = 8_000_000;
-/// Bytes a second that a voter serves.
+/// Bytes per second that a voter serves.
 pub const VOTER_SERVE_RATE: u64 = 2_000_000;
-/// Pieces that wait to be served at that rate.
+/// Maximum number of pieces that wait to be served at that rate.
 pub const MAX_QUEUED_PIECES: usize = 512;
-/// Bytes a second that a node fetches while it catches up after a start, unless it is told otherwise.
+/// Default number of bytes per second that a node fetches while it catches up after a start.
 pub const CATCH_UP_RATE: u64 = 2_000_000;
-/// Share of a second's rate that may pass at once: one in so many.
+/// The burst of a rate is one second's bytes divided by this.
 pub const BURST_DIVISOR: u64 = 10;
 
-/// Between two reports of a node.
+/// Mean time between two reports of a node.
 pub const REPORT_INTERVAL: Nanos = SECOND;
-/// After a revision has come into force it is reported within this.
+/// A revision that has come into force is reported within this time.
 pub const MAX_IN_FORCE_REPORT_DELAY: Nanos = 200 * MS;
-/// Reports of nodes in one datagram.
+/// Maximum number of reports in one datagram.
 pub const MAX_REPORTS_PER_DATAGRAM: usize = 32;
-/// Reports of nodes that are held.
+/// Maximum number of stored reports of other nodes.
 pub const MAX_STORED_REPORTS: usize = 4_096;
-/// Older reports are dropped: their nodes are unknown.
+/// Older reports are dropped, and their nodes count as unknown.
 pub const REPORT_TTL: Nanos = 60 * SECOND;
 
-/// The content of a publication has to reach a majority of the voters within this.
+/// Time within which the content of a publication has to reach a majority of the voters.
 pub const STAGE_TIMEOUT: Nanos = 10 * SECOND;
-/// Between two offers of it to a voter that has not answered.
+/// Time between two offers of a publication to a voter that has not answered.
 pub const OFFER_INTERVAL: Nanos = 300 * MS;
-/// Between two writes of the revision in force.
+/// Minimum time between two writes of the revision in force.
 pub const SAVE_INTERVAL: Nanos = 10 * SECOND;
-/// After a failed write the next.
+/// Delay after a failed write before the next one.
 pub const SAVE_RETRY_DELAY: Nanos = 5 * SECOND;
-/// A revision that the log contradicts for so long is set aside.
+/// Time for which the log has to contradict a revision before the revision is set aside.
 pub const SET_ASIDE_DELAY: Nanos = 5 * SECOND;
--- a/crates/distribution/src/config.rs
+++ b/crates/distribution/src/config.rs
@@ -1,56 +1,56 @@
-//! Who takes part, and what a test may change.
+//! Identity of a node, its view of other nodes, and tuning parameters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use crate::bounds::CATCH_UP_RATE;
 
-/// Nanoseconds on a clock that only rises.
+/// Nanoseconds on a monotonic clock.
 pub type Nanos = u64;
-/// A millisecond.
+/// One millisecond.
 pub const MS: Nanos = 1_000_000;
-/// A second.
+/// One second.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// The name of a node.
+/// Name of a node.
 pub type Name = Arc<str>;
 
-/// A node's part in the distribution.
+/// Identity of a node in the distribution.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Number of the fleet: datagrams of others are not heard.
+    /// Number of the fleet; datagrams of other fleets are rejected.
     pub cluster: u64,
-    /// The node's name.
+    /// Name of the node.
     pub name: Name,
-    /// The zone it runs in.
+    /// Zone of the node.
     pub zone: Name,
 }
 
-/// What the membership and the log say of a node, as they are seen here.
+/// Another node, as the membership and the replicated log describe it at this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the node.
     pub name: Name,
-    /// Where it hears datagrams.
+    /// Address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: Name,
-    /// Whether it is held alive.
+    /// Whether the membership considers it alive.
     pub alive: bool,
-    /// Whether it votes in the agreed log.
+    /// Whether it votes in the replicated log.
     pub votes: bool,
 }
 
-/// What differs between the product and its tests.
+/// Parameters that differ between the product and its tests.
 #[derive(Clone, Debug)]
 pub struct Tuning {
-    /// The greatest format of a document that this version can read.
+    /// Highest document format that this version can read.
     pub max_format: u16,
-    /// Whether a lasting disk is there to be written to.
+    /// Whether there is a persistent disk to write to.
     pub disk: bool,
-    /// Bytes a second that a node fetches while it catches up after a start.
+    /// Bytes per second that a node fetches while it catches up after a start.
     pub catch_up_rate: u64,
-    /// Planted defects, for tests of the checkers; none in the product.
+    /// A planted defect for tests of the invariant checkers; `None` in the product.
     pub defect: Option<Defect>,
 }
 
@@ -60,17 +60,17 @@
     }
 }
 
-/// What a planted defect does wrong.
+/// Faulty behaviour that tests plant to show that the invariant checkers detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Applies content that is staged and not yet committed.
+    /// Applies content that is staged but not yet committed.
     AppliesUncommitted,
-    /// Applies a document of which not all pieces have come.
+    /// Applies a document before all its pieces have arrived.
     AppliesIncomplete,
-    /// Applies whatever the log shows, also when it is lower.
+    /// Applies the revision that the log announces even if it is lower than the current one.
     AppliesLower,
     /// Does not compare digests.
     SkipsVerification,
-    /// Counts a node that is not heard of as having applied.
+    /// Counts a node without a report as having applied the latest revision.
     CountsSilentAsApplied,
 }
--- a/crates/distribution/src/content.rs
+++ b/crates/distribution/src/content.rs
@@ -1,4 +1,4 @@
-//! What the host has to know of content, which is opaque to the machine.
+//! Interface to the host, which knows the meaning of content that is opaque here.
 
 use std::sync::Arc;
 
@@ -7,38 +7,38 @@
 
 use crate::revision::RevisionId;
 
-/// A delta on its way from one revision to the next.
+/// A delta from one revision to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Number of the revision that it is made from.
+    /// Number of the revision that it is based on.
     pub base: u64,
-    /// Number of the revision that it makes.
+    /// Number of the revision that it produces.
     pub number: u64,
-    /// What it changes.
+    /// The encoded change.
     pub bytes: Arc<[u8]>,
 }
 
-/// Why a document or a delta is not accepted, in words that an operator can act on.
+/// Why a document or a delta was rejected, in words that an operator can act on.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct Rejection(pub String);
 
-/// The host's side: how documents are made from deltas, and how one comes into force.
+/// Implemented by the host: makes documents from deltas and puts documents in force.
 pub trait Content: Send + Sync {
-    /// The greatest format of a document that this version can read.
+    /// Returns the highest document format that this version can read.
     fn max_format(&self) -> u16;
 
-    /// Applies deltas, in order, to a whole document in its canonical encoding, and gives the canonical encoding of the
-    /// result. The first delta's `base` is the number of the revision whose document is given. Has no other effect;
-    /// called on a thread that may block.
+    /// Applies deltas, in order, to a whole document in its canonical encoding, and returns the canonical encoding of
+    /// the result. The `base` of the first delta is the number of the revision of `document`. Has no other effect. It
+    /// is called on a thread that may block.
     fn compose(&self, document: &[u8], deltas: &[Delta]) -> Result<Vec<u8>, Rejection>;
 
-    /// Puts a whole document in force between two requests. Its digest has been verified. When this is an error the
-    /// revision before has to stay in force. Called on a thread that may block, one call at a time. Revisions only rise,
-    /// but after [`Content::set_aside`].
+    /// Puts a whole document in force between two requests. Its digest has been verified. On an error the previous
+    /// revision has to stay in force. It is called on a thread that may block, one call at a time. Revisions increase,
+    /// except after [`Content::set_aside`].
     fn apply(&self, revision: RevisionId, document: &[u8]) -> Result<(), Rejection>;
 
-    /// The revision in force came from a disk and is not of this fleet's log. It serves on until the next
-    /// [`Content::apply`], which may be of a lower one. Must not block.
+    /// Announces that the revision in force came from the disk and does not belong to this fleet's log. It stays in
+    /// force until the next [`Content::apply`], which may be of a lower revision. Must not block.
     fn set_aside(&self, revision: RevisionId);
 }
--- a/crates/distribution/src/download.rs
+++ b/crates/distribution/src/download.rs
@@ -1,4 +1,4 @@
-//! Content on its way here, in pieces.
+//! Downloads of content in pieces.
 
 use std::collections::BTreeMap;
 
@@ -9,32 +9,32 @@
 use crate::config::{Name, Nanos};
 use crate::wire::Transfer;
 
-/// A piece that was asked for.
+/// A requested piece that has not arrived.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Requested {
     at: Nanos,
-    again: Nanos, // when it is asked for once more
-    times: u32,
+    retry_at: Nanos, // time at which it is requested again
+    attempts: u32,
 }
 
-/// A transfer that is being fetched.
+/// A transfer that is being downloaded.
 #[derive(Clone, Debug)]
 pub struct Download {
-    /// From whom.
+    /// Name of the sender.
     pub from: Name,
-    /// What.
+    /// Kind, digest and length of the transfer.
     pub transfer: Transfer,
     buffer: Vec<u8>,
     received: Vec<bool>,
     missing: usize,
-    next: u16,
-    asked: BTreeMap<u16, Asked>, // pieces under way
-    usual: Option<Nanos>,        // that the other takes, smoothed
-    progress: Nanos,
+    next_piece: u16,
+    requested: BTreeMap<u16, Requested>, // outstanding pieces by number
+    smoothed_delay: Option<Nanos>,       // smoothed time from request to arrival
+    last_progress: Nanos,
 }
 
 impl Download {
-    /// Of which nothing has come yet; none if it is longer than any content.
+    /// Creates a download without any piece; `None` if the transfer is longer than any content may be.
     pub fn new(now: Nanos, from: Name, transfer: Transfer) -> Option<Self> {
         let pieces = transfer.pieces()?;
         Some(Download {
@@ -43,37 +43,37 @@
             buffer: vec![0; transfer.length as usize],
             received: vec![false; pieces.into()],
             missing: pieces.into(),
-            next: 0,
-            asked: BTreeMap::new(),
-            usual: None,
-            progress: now,
+            next_piece: 0,
+            requested: BTreeMap::new(),
+            smoothed_delay: None,
+            last_progress: now,
         })
     }
 
-    /// Goes on from another node with what has come.
+    /// Continues from another node with the pieces that have arrived.
     pub fn resume(&mut self, now: Nanos, from: Name) {
-        (self.from, self.progress) = (from, now);
-        self.asked.clear();
-        (self.next, self.usual) = (0, None);
+        (self.from, self.last_progress) = (from, now);
+        self.requested.clear();
+        (self.next_piece, self.smoothed_delay) = (0, None);
     }
 
-    /// Whether all has come.
+    /// Returns whether all pieces have arrived.
     pub fn is_complete(&self) -> bool {
         self.missing == 0
     }
 
-    /// Whether at least half has come.
+    /// Returns whether at least half of the pieces have arrived.
     pub fn is_half(&self) -> bool {
         2 * self.missing <= self.received.len()
     }
 
-    /// What has come.
+    /// Returns the buffer with all pieces; missing ones are zeros.
     pub fn into_bytes(self) -> Vec<u8> {
         self.buffer
     }
 
-    /// Takes a piece; one that is not of its length is no piece.
-    pub fn take(&mut self, now: Nanos, number: u16, bytes: &[u8]) {
+    /// Stores a piece; ignores one that is duplicate or does not have the expected length.
+    pub fn store(&mut self, now: Nanos, number: u16, bytes: &[u8]) {
         let start = usize::from(number) * PIECE_BYTES;
         let end = (start + PIECE_BYTES).min(self.buffer.len());
         let Some(received) = self.received.get_mut(usize::from(number)) else { return };
@@ -83,51 +83,61 @@
         *received = true;
         self.buffer[start..end].copy_from_slice(bytes);
         self.missing -= 1;
-        self.progress = now;
-        // Of a piece that was asked for twice nobody knows which answer this is (Karn's rule).
-        if let Some(asked) = self.asked.remove(&number).filter(|asked| asked.times == 1) {
-            let took = now - asked.at;
-            self.usual = Some(self.usual.map_or(took, |usual| (7 * usual + took) / 8));
+        self.last_progress = now;
+        // The delay of a piece that was requested twice is ambiguous, so it is not measured (Karn's rule).
+        if let Some(requested) = self.requested.remove(&number).filter(|requested| requested.attempts == 1) {
+            let took = now - requested.at;
+            self.smoothed_delay =
+                Some(self.smoothed_delay.map_or(took, |smoothed_delay| (7 * smoothed_delay + took) / 8));
         }
     }
 
-    fn patience(&self) -> Nanos {
-        let usual = self.usual.map_or(ANSWER_TIMEOUT, |usual| usual * PIECE_TIMEOUT_FACTOR);
-        usual.clamp(MIN_PIECE_TIMEOUT, ANSWER_TIMEOUT)
+    fn piece_timeout(&self) -> Nanos {
+        let smoothed_delay = self
+            .smoothed_delay
+            .map_or(ANSWER_TIMEOUT, |smoothed_delay| smoothed_delay * PIECE_TIMEOUT_FACTOR);
+        smoothed_delay.clamp(MIN_PIECE_TIMEOUT, ANSWER_TIMEOUT)
     }
 
-    /// Numbers of the pieces to ask for now, `budget` at most: those that were not answered, then further ones.
+    /// Returns the numbers of the pieces to request now, at most `budget`: overdue ones first, then new ones.
     pub fn pull(&mut self, now: Nanos, budget: usize) -> Vec<u16> {
-        let room = PIECE_WINDOW.saturating_sub(self.asked.len());
-        let late = self.asked.iter().filter(|(_, asked)| asked.again <= now).map(|(number, _)| *number);
+        let room = PIECE_WINDOW.saturating_sub(self.requested.len());
+        let late = self
+            .requested
+            .iter()
+            .filter(|(_, requested)| requested.retry_at <= now)
+            .map(|(number, _)| *number);
         let mut pieces: Vec<u16> = late.take(MAX_PIECES_PULLED.min(budget)).collect();
         let limit = (pieces.len() + room).min(MAX_PIECES_PULLED).min(budget);
-        // A datagram for each piece that has come would cost more than it gains.
-        if !self.asked.is_empty() && pieces.is_empty() && room < MAX_PIECES_PULLED / 2 {
+        // One pull per arriving piece would cost more than it gains, so a pull waits until there is room for half of
+        // its maximum number of pieces.
+        if !self.requested.is_empty() && pieces.is_empty() && room < MAX_PIECES_PULLED / 2 {
             return pieces;
         }
-        while pieces.len() < limit && usize::from(self.next) < self.received.len() {
-            if !self.received[usize::from(self.next)] && !self.asked.contains_key(&self.next) {
-                pieces.push(self.next);
+        while pieces.len() < limit && usize::from(self.next_piece) < self.received.len() {
+            if !self.received[usize::from(self.next_piece)] && !self.requested.contains_key(&self.next_piece)
+            {
+                pieces.push(self.next_piece);
             }
-            self.next += 1;
+            self.next_piece += 1;
         }
-        let again = now + self.patience();
+        let retry_at = now + self.piece_timeout();
         for number in &pieces {
-            let times = self.asked.get(number).map_or(0, |asked| asked.times) + 1;
-            self.asked.insert(*number, Asked { at: now, again, times });
+            let attempts = self.requested.get(number).map_or(0, |requested| requested.attempts) + 1;
+            self.requested.insert(*number, Requested { at: now, retry_at, attempts });
         }
         pieces
     }
 
-    /// Whether the other has sent nothing new for too long.
+    /// Returns whether no new piece has arrived for too long.
     pub fn is_stuck(&self, now: Nanos) -> bool {
-        now >= self.progress + PROGRESS_TIMEOUT
+        now >= self.last_progress + PROGRESS_TIMEOUT
     }
 
-    /// When it next wants a look.
+    /// Returns when the download next needs a check.
     pub fn due(&self) -> Nanos {
-        let again = self.asked.values().map(|asked| asked.again).min().unwrap_or(self.progress);
-        again.min(self.progress + PROGRESS_TIMEOUT)
+        let retry_at =
+            self.requested.values().map(|requested| requested.retry_at).min().unwrap_or(self.last_progress);
+        retry_at.min(self.last_progress + PROGRESS_TIMEOUT)
     }
 }
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -1,4 +1,4 @@
-//! Deltas and whole documents that are kept for nodes that are behind.
+//! Deltas and whole documents stored for nodes that are behind.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,31 +9,31 @@
 use crate::content::Delta;
 use crate::revision::{Announcement, Digest, RevisionId};
 
-/// A delta of a chain. The digest of its result is a hint, by which chains are put together: what a chain as a whole
-/// leads to is compared with what the log announces.
+/// A delta of a chain. The digest of its result is a hint for assembling chains; the result of a whole chain is
+/// compared with the announced digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Link {
-    /// Digest of the document that it makes.
+pub struct ChainLink {
+    /// Digest of the resulting document.
     pub result: Digest,
-    /// It.
+    /// The delta.
     pub delta: Delta,
 }
 
-/// What this node can serve.
+/// Content that this node can serve.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    links: VecDeque<(Digest, Link)>, // with the digest of the document that each begins at
+    links: VecDeque<(Digest, ChainLink)>, // each with the digest of its base document
     bytes: usize,
     snapshots: VecDeque<(Announcement, Arc<[u8]>)>,
 }
 
 impl History {
-    /// Keeps the deltas of a chain that begins at this document.
-    pub fn add_chain(&mut self, base: Digest, chain: Vec<Link>) {
+    /// Stores the deltas of a chain that is based on the document with digest `base`.
+    pub fn add_chain(&mut self, base: Digest, chain: Vec<ChainLink>) {
         let mut base = base;
         for link in chain {
             let result = link.result;
-            if !self.links.iter().any(|(from, kept)| *from == base && kept.result == result) {
+            if !self.links.iter().any(|(from, stored)| *from == base && stored.result == result) {
                 self.bytes += link.delta.bytes.len();
                 self.links.push_back((base, link));
             }
@@ -45,32 +45,32 @@
         }
     }
 
-    /// Keeps a verified document.
+    /// Stores a verified document.
     pub fn add_snapshot(&mut self, announcement: Announcement, document: Arc<[u8]>) {
-        self.snapshots.retain(|(kept, _)| kept.id != announcement.id);
+        self.snapshots.retain(|(stored, _)| stored.id != announcement.id);
         self.snapshots.push_back((announcement, document));
         while self.snapshots.len() > MAX_SNAPSHOTS {
             self.snapshots.pop_front();
         }
     }
 
-    /// Forgets everything: what was kept turned out not to be of this log.
+    /// Drops all content, because it turned out not to belong to this log.
     pub fn clear(&mut self) {
         *self = History::default();
     }
 
-    /// The document of a revision.
+    /// Returns the document of a revision.
     pub fn snapshot(&self, id: RevisionId) -> Option<(&Announcement, &Arc<[u8]>)> {
         let found = self.snapshots.iter().find(|(announcement, _)| announcement.id == id);
         found.map(|(announcement, document)| (announcement, document))
     }
 
-    /// The deltas from one document to another, in order, where all are here and together are no longer than `limit`.
-    pub fn chain(&self, from: Digest, to: Digest, limit: usize) -> Option<Vec<Link>> {
+    /// Returns the deltas from one document to another, in order, if all are stored and their total size is within `limit`.
+    pub fn chain(&self, from: Digest, to: Digest, limit: usize) -> Option<Vec<ChainLink>> {
         let mut chain = Vec::new();
         let mut bytes = 0;
         let mut wanted = to;
-        // From the result backwards: the newest delta that makes it is the one to take.
+        // Goes backwards from the result, so that the newest delta that produces a document is taken.
         for (base, link) in self.links.iter().rev() {
             if wanted == from {
                 break;
@@ -88,7 +88,7 @@
         (wanted == from && !chain.is_empty()).then_some(chain)
     }
 
-    /// Bytes and number of the deltas, for figures.
+    /// Returns the total size in bytes and the number of the deltas, for diagnostics.
     pub fn size(&self) -> (usize, usize) {
         (self.bytes, self.links.len())
     }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,12 +1,13 @@
-//! Distribution of versioned configuration: revisions that the agreed log announces, and their content on its way to
-//! every node.
+//! Distribution of versioned configuration: the replicated log announces revisions, and nodes fetch their content from
+//! each other until each node has it in force.
 //!
-//! A pure machine. Time, datagrams, the membership's view, the state of the log and word of the disk come in;
-//! datagrams, documents to be applied, writes and notes come out. It opens no socket, reads no clock and writes no
-//! file: the same code runs in the product and, by the thousand, in virtual time.
+//! The crate is a deterministic state machine. Its inputs are time, datagrams, the view of the membership, the state of
+//! the log and completed disk writes; its outputs are datagrams, documents to apply, disk writes and notifications. It
+//! opens no socket, reads no clock and writes no file, so the same code runs in the product and, in thousands of nodes,
+//! in virtual time.
 //!
-//! Content is opaque: a document is bytes with a SHA-256 digest, and what a delta does to one is the host's
-//! ([`Action::Compose`]). Only a whole document whose digest is announced is handed to [`Action::Apply`].
+//! Content is opaque: a document is bytes with a SHA-256 digest, and the host applies deltas to it
+//! ([`Action::Compose`]). Only a whole document with an announced digest is passed to [`Action::Apply`].
 
 pub mod bounds;
 mod config;
--- a/crates/distribution/src/machine/applying.rs
+++ b/crates/distribution/src/machine/applying.rs
@@ -7,7 +7,7 @@
 use crate::bounds::{MAX_CONTENT_BYTES, MAX_IN_FORCE_REPORT_DELAY};
 use crate::config::{Defect, Nanos};
 use crate::content::Rejection;
-use crate::history::Link;
+use crate::history::ChainLink;
 use crate::revision::{Announcement, Digest, RevisionId};
 use crate::stored_state::{Document, StagedContent};
 use crate::wire::TransferKind;
@@ -15,7 +15,7 @@
 /// A document that deltas may lead on from. Nobody has to vouch for it: what is applied is the result, whose digest the
 /// log announces.
 #[derive(Debug)]
-pub struct Base {
+pub struct UnverifiedBase {
     /// Which revision it is said to be.
     pub id: RevisionId,
     /// Its digest.
@@ -36,7 +36,7 @@
         /// What they have to result in.
         target: Announcement,
         /// Them.
-        chain: Vec<Link>,
+        chain: Vec<ChainLink>,
     },
     /// The host is putting it in force.
     Applying(Document),
@@ -60,7 +60,7 @@
     }
 
     /// In a line.
-    pub fn text(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
             Work::Idle => "idle".to_owned(),
             Work::Fetching(fetch) => format!("fetches {} at attempt {}", fetch.target.id, fetch.attempt),
@@ -72,29 +72,29 @@
 
 impl Distribution {
     /// What the disk held comes into force before anything is heard.
-    pub(super) fn restore(&mut self, document: Document, out: &mut Vec<Action>) {
+    pub(super) fn restore(&mut self, document: Document, actions: &mut Vec<Action>) {
         if document.announcement.format > self.tuning.max_format {
             return self.refuse(
                 document.announcement,
                 self.unknown_format(document.announcement.format),
-                out,
+                actions,
             );
         }
-        self.hold(document.clone());
-        self.apply(document, out);
+        self.set_verified(document.clone());
+        self.apply(document, actions);
     }
 
     /// Begins with the next revision where nothing is under way, and goes on with what is.
-    pub(super) fn work(&mut self, now: Nanos, out: &mut Vec<Action>) {
+    pub(super) fn advance_work(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         self.stop_for_staged();
         if self.work.is_idle() {
             match self.target() {
-                Some(target) => self.begin(now, target, out),
+                Some(target) => self.start_work(now, target, actions),
                 None if self.log.announcement.is_some() => self.catching_up = None,
                 None => {}
             }
         }
-        self.fetch_more(now, out);
+        self.advance_fetch(now, actions);
     }
 
     fn unknown_format(&self, format: u16) -> String {
@@ -104,29 +104,31 @@
         )
     }
 
-    fn begin(&mut self, now: Nanos, target: Announcement, out: &mut Vec<Action>) {
+    fn start_work(&mut self, now: Nanos, target: Announcement, actions: &mut Vec<Action>) {
         if target.format > self.tuning.max_format {
-            return self.refuse(target, self.unknown_format(target.format), out);
+            return self.refuse(target, self.unknown_format(target.format), actions);
         }
         // Going back and forth gives the same document again.
-        if let Some(held) = self.held.as_ref().filter(|held| held.announcement.digest == target.digest) {
-            let document = Document { announcement: target, bytes: held.bytes.clone() };
-            self.hold(document.clone());
-            return self.apply(document, out);
+        if let Some(verified) =
+            self.verified.as_ref().filter(|verified| verified.announcement.digest == target.digest)
+        {
+            let document = Document { announcement: target, bytes: verified.bytes.clone() };
+            self.set_verified(document.clone());
+            return self.apply(document, actions);
         }
-        if let Some(staged) = self.staged_for_target(&target) {
+        if let Some(staged) = self.staged_target(&target) {
             let (kind, bytes) = (staged.transfer.kind, staged.bytes.clone());
-            return self.received(now, target, kind, &bytes, out);
+            return self.transfer_complete(now, target, kind, &bytes, actions);
         }
         self.work = Work::Fetching(Box::new(Fetch::new(target, now.max(self.fetch_after))));
     }
 
     /// Content that was staged here and leads to this revision.
-    fn staged_for_target(&self, target: &Announcement) -> Option<&StagedContent> {
+    fn staged_target(&self, target: &Announcement) -> Option<&StagedContent> {
         let base = self.base_digest();
         let leads = |staged: &&StagedContent| {
-            let from_here = staged.transfer.kind == TransferKind::Snapshot || staged.base == base;
-            staged.announcement == *target && from_here
+            let applicable = staged.transfer.kind == TransferKind::Snapshot || staged.base == base;
+            staged.announcement == *target && applicable
         };
         self.staged.iter().map(|(_, staged)| staged).find(leads)
     }
@@ -134,32 +136,33 @@
     /// Fetches no longer what is not coming, where a later revision is staged here.
     fn stop_for_staged(&mut self) {
         let Work::Fetching(fetch) = &self.work else { return };
-        let staged = self.target().is_some_and(|target| self.staged_for_target(&target).is_some());
+        let staged = self.target().is_some_and(|target| self.staged_target(&target).is_some());
         if staged && !fetch.is_downloading() {
             self.work = Work::Idle;
         }
     }
 
     /// All of a transfer has come, and has the digest that it was offered with.
-    pub(super) fn received(
-        &mut self, now: Nanos, target: Announcement, kind: TransferKind, bytes: &[u8], out: &mut Vec<Action>,
+    pub(super) fn transfer_complete(
+        &mut self, now: Nanos, target: Announcement, kind: TransferKind, bytes: &[u8],
+        actions: &mut Vec<Action>,
     ) {
         match kind {
-            TransferKind::Snapshot => self.verified(now, target, Arc::from(bytes), Vec::new(), out),
+            TransferKind::Snapshot => self.verify(now, target, Arc::from(bytes), Vec::new(), actions),
             TransferKind::Chain => {
-                let chain: Vec<Link> = postcard::from_bytes(bytes).unwrap_or_default();
-                let held = self.held.as_ref().map(|held| &held.bytes);
-                let base = self.base.as_ref().map(|base| &base.bytes).or(held).cloned();
+                let chain: Vec<ChainLink> = postcard::from_bytes(bytes).unwrap_or_default();
+                let verified = self.verified.as_ref().map(|verified| &verified.bytes);
+                let base = self.base.as_ref().map(|base| &base.bytes).or(verified).cloned();
                 let base = base.unwrap_or_else(|| Arc::from([]));
                 let deltas = chain.iter().map(|link| link.delta.clone()).collect();
                 self.work = Work::Composing { target, chain };
-                out.push(Action::Compose { base, deltas });
+                actions.push(Action::Compose { base, deltas });
             }
         }
     }
 
     pub(super) fn composed(
-        &mut self, now: Nanos, result: Result<Arc<[u8]>, Rejection>, out: &mut Vec<Action>,
+        &mut self, now: Nanos, result: Result<Arc<[u8]>, Rejection>, actions: &mut Vec<Action>,
     ) {
         let (target, chain) = match std::mem::replace(&mut self.work, Work::Idle) {
             Work::Composing { target, chain } => (target, chain),
@@ -167,55 +170,55 @@
         };
         match result {
             Ok(document) if document.len() <= MAX_CONTENT_BYTES => {
-                self.verified(now, target, document, chain, out)
+                self.verify(now, target, document, chain, actions)
             }
-            _ => self.bad_chain(now, target, out),
+            _ => self.reject_chain(now, target, actions),
         }
     }
 
     /// Compares a document with what is announced, and has it applied if it is that.
-    fn verified(
-        &mut self, now: Nanos, target: Announcement, bytes: Arc<[u8]>, chain: Vec<Link>,
-        out: &mut Vec<Action>,
+    fn verify(
+        &mut self, now: Nanos, target: Announcement, bytes: Arc<[u8]>, chain: Vec<ChainLink>,
+        actions: &mut Vec<Action>,
     ) {
-        let trusts =
+        let skips_verification =
             matches!(self.tuning.defect, Some(Defect::SkipsVerification | Defect::AppliesIncomplete));
-        if !target.matches(&bytes) && !trusts {
-            return self.bad_chain(now, target, out);
+        if !target.matches(&bytes) && !skips_verification {
+            return self.reject_chain(now, target, actions);
         }
         if let Some(base) = self.base_digest() {
             self.history.add_chain(base, chain);
         }
         let document = Document { announcement: target, bytes };
-        self.hold(document.clone());
-        self.apply(document, out);
+        self.set_verified(document.clone());
+        self.apply(document, actions);
     }
 
     /// Deltas, or what was staged, did not lead to the announced digest.
-    fn bad_chain(&mut self, now: Nanos, target: Announcement, out: &mut Vec<Action>) {
-        out.push(Action::Notify(Notification::ChainMismatch(target.id)));
+    fn reject_chain(&mut self, now: Nanos, target: Announcement, actions: &mut Vec<Action>) {
+        actions.push(Action::Notify(Notification::ChainMismatch(target.id)));
         self.staged.retain(|(_, staged)| staged.announcement != target);
         self.base = None;
-        self.work = Work::Fetching(Box::new(Fetch::snapshot(target, now)));
+        self.work = Work::Fetching(Box::new(Fetch::snapshot_only(target, now)));
     }
 
-    fn hold(&mut self, document: Document) {
+    fn set_verified(&mut self, document: Document) {
         self.history.add_snapshot(document.announcement, document.bytes.clone());
-        self.held = Some(document);
+        self.verified = Some(document);
         self.base = None;
     }
 
     /// The digest of what deltas can be applied to here.
     pub(super) fn base_digest(&self) -> Option<Digest> {
-        self.base.as_ref().map(|base| base.digest).or_else(|| self.held_digest())
+        self.base.as_ref().map(|base| base.digest).or_else(|| self.verified_digest())
     }
 
-    fn apply(&mut self, document: Document, out: &mut Vec<Action>) {
-        out.push(Action::Apply(document.clone()));
+    fn apply(&mut self, document: Document, actions: &mut Vec<Action>) {
+        actions.push(Action::Apply(document.clone()));
         self.work = Work::Applying(document);
     }
 
-    pub(super) fn applied(&mut self, now: Nanos, result: Result<(), Rejection>, out: &mut Vec<Action>) {
+    pub(super) fn applied(&mut self, now: Nanos, result: Result<(), Rejection>, actions: &mut Vec<Action>) {
         let document = match std::mem::replace(&mut self.work, Work::Idle) {
             Work::Applying(document) => document,
             other => return self.work = other,
@@ -224,17 +227,17 @@
         match result {
             Ok(()) => {
                 self.in_force = Some(document);
-                (self.refused, self.forsaken) = (None, false);
+                (self.refused, self.in_force_set_aside) = (None, false);
                 // Others look for it.
                 self.report_at = self.report_at.min(now + self.rng.u64(0..MAX_IN_FORCE_REPORT_DELAY));
-                out.push(Action::Notify(Notification::InForce(announcement)));
+                actions.push(Action::Notify(Notification::InForce(announcement)));
             }
-            Err(Rejection(why)) => self.refuse(announcement, why, out),
+            Err(Rejection(reason)) => self.refuse(announcement, reason, actions),
         }
     }
 
-    fn refuse(&mut self, announcement: Announcement, why: String, out: &mut Vec<Action>) {
-        self.refused = Some((announcement.id, why.clone()));
-        out.push(Action::Notify(Notification::Refused(announcement.id, why)));
+    fn refuse(&mut self, announcement: Announcement, reason: String, actions: &mut Vec<Action>) {
+        self.refused = Some((announcement.id, reason.clone()));
+        actions.push(Action::Notify(Notification::Refused(announcement.id, reason)));
     }
 }
--- a/crates/distribution/src/machine/fetching.rs
+++ b/crates/distribution/src/machine/fetching.rs
@@ -1,6 +1,6 @@
 //! From whom content is fetched, and at which pace.
 
-use super::applying::{Base, Work};
+use super::applying::{UnverifiedBase, Work};
 use super::{Action, Distribution, Notification};
 use crate::bounds::{
     ANSWER_TIMEOUT, FULL_BACKOFF_ATTEMPTS, MAX_BASE_ATTEMPTS, MAX_EARLY_DOUBLINGS, MAX_PIECES_PULLED,
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 enum Phase {
     Waiting { until: Nanos },
-    Asked { from: Name, until: Nanos },
+    Requested { from: Name, until: Nanos },
     Downloading(Download),
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// One of the whole document only.
-    pub fn snapshot(target: Announcement, at: Nanos) -> Self {
+    pub fn snapshot_only(target: Announcement, at: Nanos) -> Self {
         Fetch { snapshot: true, ..Fetch::new(target, at) }
     }
 }
@@ -60,61 +60,63 @@
 /// Where the next attempt goes: near nodes before far ones, and both before voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
-    Near,
-    Far,
+    SameZone,
+    OtherZone,
     Voter,
 }
 
 /// The order of attempts, over and over.
-const SOURCES: [Source; 5] = [Source::Near, Source::Near, Source::Far, Source::Near, Source::Voter];
+const SOURCE_ORDER: [Source; 5] =
+    [Source::SameZone, Source::SameZone, Source::OtherZone, Source::SameZone, Source::Voter];
 
 impl Distribution {
     pub(super) fn work_due(&self) -> Option<Nanos> {
         let Work::Fetching(fetch) = &self.work else { return None };
         Some(match &fetch.phase {
-            Phase::Waiting { until } | Phase::Asked { until, .. } => *until,
+            Phase::Waiting { until } | Phase::Requested { until, .. } => *until,
             Phase::Downloading(download) => download.due().max(self.fetch_after),
         })
     }
 
     /// Goes on with the fetch under way.
-    pub(super) fn fetch_more(&mut self, now: Nanos, out: &mut Vec<Action>) {
+    pub(super) fn advance_fetch(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let Some(mut fetch) = self.work.take_fetch() else { return };
         match &mut fetch.phase {
-            Phase::Waiting { until } if *until <= now => self.ask(now, &mut fetch, out),
-            Phase::Asked { until, .. } if *until <= now => self.retry(now, &mut fetch, false),
-            Phase::Downloading(download) if self.is_over(download) => {
-                return self.finish(now, *fetch, out);
+            Phase::Waiting { until } if *until <= now => self.send_request(now, &mut fetch, actions),
+            Phase::Requested { until, .. } if *until <= now => self.retry(now, &mut fetch, false),
+            Phase::Downloading(download) if self.is_finished(download) => {
+                return self.finish_download(now, *fetch, actions);
             }
             Phase::Downloading(download) if download.is_stuck(now) => self.retry(now, &mut fetch, false),
-            Phase::Downloading(download) => pull(self, now, download, out),
+            Phase::Downloading(download) => pull_pieces(self, now, download, actions),
             _ => {}
         }
         self.work = Work::Fetching(fetch);
     }
 
-    fn is_over(&self, download: &Download) -> bool {
+    fn is_finished(&self, download: &Download) -> bool {
         let half = self.tuning.defect == Some(Defect::AppliesIncomplete) && download.is_half();
         download.is_complete() || half
     }
 
     /// The next attempt, later after each failure.
     fn retry(&mut self, now: Nanos, fetch: &mut Fetch, busy: bool) {
-        let patient = if fetch.attempt < FULL_BACKOFF_ATTEMPTS { MAX_EARLY_DOUBLINGS } else { u32::BITS };
-        let doublings = (fetch.attempt / SOURCES.len() as u32).min(patient) + u32::from(busy);
-        let wait = (MIN_RETRY_DELAY << doublings.min(u32::BITS / 2)).min(MAX_RETRY_DELAY);
-        let until = now + wait + self.rng.u64(0..wait);
+        let max_doublings =
+            if fetch.attempt < FULL_BACKOFF_ATTEMPTS { MAX_EARLY_DOUBLINGS } else { u32::BITS };
+        let doublings = (fetch.attempt / SOURCE_ORDER.len() as u32).min(max_doublings) + u32::from(busy);
+        let delay = (MIN_RETRY_DELAY << doublings.min(u32::BITS / 2)).min(MAX_RETRY_DELAY);
+        let until = now + delay + self.rng.u64(0..delay);
         if let Phase::Downloading(download) = std::mem::replace(&mut fetch.phase, Phase::Waiting { until }) {
             fetch.partial = Some(download);
         }
     }
 
-    fn ask(&mut self, now: Nanos, fetch: &mut Fetch, out: &mut Vec<Action>) {
+    fn send_request(&mut self, now: Nanos, fetch: &mut Fetch, actions: &mut Vec<Action>) {
         if fetch.attempt >= MAX_BASE_ATTEMPTS {
             self.base = None;
         }
-        let again = now >= fetch.since + RETARGET_DELAY || self.base.is_some();
-        if let Some(latest) = self.target().filter(|latest| again && latest.id != fetch.target.id) {
+        let may_retarget = now >= fetch.since + RETARGET_DELAY || self.base.is_some();
+        if let Some(latest) = self.target().filter(|latest| may_retarget && latest.id != fetch.target.id) {
             (fetch.target, fetch.since) = (latest, now);
             fetch.partial = None;
         }
@@ -122,9 +124,9 @@
             fetch.attempt += 1;
             return self.retry(now, fetch, false); // the log here will come to it
         }
-        let source = SOURCES[fetch.attempt as usize % SOURCES.len()];
+        let source = SOURCE_ORDER[fetch.attempt as usize % SOURCE_ORDER.len()];
         fetch.attempt += 1;
-        let Some(from) = self.source(now, source, fetch.target.id) else {
+        let Some(from) = self.choose_source(now, source, fetch.target.id) else {
             return self.retry(now, fetch, false);
         };
         let have = self.base_digest();
@@ -134,35 +136,36 @@
             digest: fetch.target.digest,
             snapshot: fetch.snapshot,
         };
-        self.send(&from, request, out);
-        fetch.phase = Phase::Asked { from, until: now + ANSWER_TIMEOUT };
+        self.send(&from, request, actions);
+        fetch.phase = Phase::Requested { from, until: now + ANSWER_TIMEOUT };
     }
 
     /// A node to ask, one that is known to have it if there is any; any live one where there is none of that kind.
-    fn source(&mut self, now: Nanos, source: Source, want: RevisionId) -> Option<Name> {
-        let zone = self.id.zone.clone();
-        let fits = |peer: &&Peer| match source {
-            Source::Near => !peer.votes && peer.zone == zone,
-            Source::Far => !peer.votes && peer.zone != zone,
+    fn choose_source(&mut self, now: Nanos, source: Source, want: RevisionId) -> Option<Name> {
+        let zone = self.identity.zone.clone();
+        let matches = |peer: &&Peer| match source {
+            Source::SameZone => !peer.votes && peer.zone == zone,
+            Source::OtherZone => !peer.votes && peer.zone != zone,
             Source::Voter => peer.votes,
         };
         let alive = self.peers.iter().filter(|peer| peer.alive);
-        let fitting: Vec<&Peer> = alive.clone().filter(fits).collect();
-        let fitting = if fitting.is_empty() { alive.collect() } else { fitting };
-        let has = |peer: &&Peer| self.reported_revision(now, &peer.name).is_some_and(|id| id >= want);
-        let having: Vec<&Peer> = fitting.iter().copied().filter(has).collect();
+        let matching: Vec<&Peer> = alive.clone().filter(matches).collect();
+        let matching = if matching.is_empty() { alive.collect() } else { matching };
+        let reports_revision =
+            |peer: &&Peer| self.reported_revision(now, &peer.name).is_some_and(|id| id >= want);
+        let reporting: Vec<&Peer> = matching.iter().copied().filter(reports_revision).collect();
         // Not always: what is known may be old, and the few that are known to have it may be busy.
-        let any = having.is_empty() || self.rng.u8(0..4) == 0;
-        let chosen = if any { fitting } else { having };
+        let any = reporting.is_empty() || self.rng.u8(0..4) == 0;
+        let chosen = if any { matching } else { reporting };
         (!chosen.is_empty()).then(|| chosen[self.rng.usize(0..chosen.len())].name.clone())
     }
 
-    pub(super) fn offered(
+    pub(super) fn offer_received(
         &mut self, now: Nanos, from: &Name, want: RevisionId, makes: RevisionId, transfer: Transfer,
         first: &[u8],
     ) {
         let Work::Fetching(fetch) = &mut self.work else { return };
-        let asked = matches!(&fetch.phase, Phase::Asked { from: asked, .. } if asked == from);
+        let asked = matches!(&fetch.phase, Phase::Requested { from: asked, .. } if asked == from);
         if !asked || fetch.target.id != want {
             return;
         }
@@ -178,64 +181,65 @@
             None => Download::new(now, from.clone(), transfer),
         };
         let Some(mut download) = download.filter(|_| fits) else { return };
-        download.take(now, 0, first);
+        download.store(now, 0, first);
         fetch.makes = makes;
         fetch.phase = Phase::Downloading(download);
     }
 
-    pub(super) fn denied(&mut self, now: Nanos, from: &Name, want: RevisionId, busy: bool) {
+    pub(super) fn request_denied(&mut self, now: Nanos, from: &Name, want: RevisionId, busy: bool) {
         let Some(mut fetch) = self.work.take_fetch() else { return };
-        let asked = matches!(&fetch.phase, Phase::Asked { from: asked, .. } if asked == from);
+        let asked = matches!(&fetch.phase, Phase::Requested { from: asked, .. } if asked == from);
         if asked && fetch.target.id == want {
             self.retry(now, &mut fetch, busy);
         }
         self.work = Work::Fetching(fetch);
     }
 
-    pub(super) fn piece(&mut self, now: Nanos, digest: Digest, number: u16, bytes: &[u8]) {
+    pub(super) fn piece_received(&mut self, now: Nanos, digest: Digest, number: u16, bytes: &[u8]) {
         if let Some(staging) =
             self.staging.as_mut().filter(|staging| staging.download.transfer.digest == digest)
         {
-            staging.download.take(now, number, bytes);
+            staging.download.store(now, number, bytes);
         }
         let Work::Fetching(fetch) = &mut self.work else { return };
         if let Phase::Downloading(download) = &mut fetch.phase {
             if download.transfer.digest == digest {
-                download.take(now, number, bytes);
+                download.store(now, number, bytes);
             }
         }
     }
 
-    fn finish(&mut self, now: Nanos, mut fetch: Fetch, out: &mut Vec<Action>) {
+    fn finish_download(&mut self, now: Nanos, mut fetch: Fetch, actions: &mut Vec<Action>) {
         let Phase::Downloading(download) = fetch.phase else { return };
         let (from, transfer) = (download.from.clone(), download.transfer);
         let bytes = download.into_bytes();
-        let trusts =
+        let skips_verification =
             matches!(self.tuning.defect, Some(Defect::SkipsVerification | Defect::AppliesIncomplete));
-        if Digest::of(&bytes) != transfer.digest && !trusts {
-            out.push(Action::Notify(Notification::DigestMismatch(from, fetch.target.id)));
+        if Digest::of(&bytes) != transfer.digest && !skips_verification {
+            actions.push(Action::Notify(Notification::DigestMismatch(from, fetch.target.id)));
             fetch.phase = Phase::Waiting { until: now + MIN_RETRY_DELAY };
             self.work = Work::Fetching(Box::new(fetch));
             return;
         }
         if fetch.makes == fetch.target.id {
-            return self.received(now, fetch.target, transfer.kind, &bytes, out);
+            return self.transfer_complete(now, fetch.target, transfer.kind, &bytes, actions);
         }
-        self.base = Some(Base { id: fetch.makes, digest: transfer.digest, bytes: bytes.into() });
+        self.base = Some(UnverifiedBase { id: fetch.makes, digest: transfer.digest, bytes: bytes.into() });
         self.work = Work::Fetching(Box::new(Fetch::new(fetch.target, now)));
     }
 }
 
 /// Pulls what there is room for, at the pace of a node that catches up.
-fn pull(node: &mut Distribution, now: Nanos, download: &mut Download, out: &mut Vec<Action>) {
+fn pull_pieces(node: &mut Distribution, now: Nanos, download: &mut Download, actions: &mut Vec<Action>) {
     loop {
         let budget = match &mut node.catching_up {
-            Some(budget) => (budget.left(now) as usize / PIECE_BYTES).min(MAX_PIECES_PULLED),
+            Some(budget) => (budget.available(now) as usize / PIECE_BYTES).min(MAX_PIECES_PULLED),
             None => MAX_PIECES_PULLED,
         };
         if budget == 0 {
-            let wait = node.catching_up.as_ref().map(|budget| budget.when(MAX_PIECES_PULLED * PIECE_BYTES));
-            node.fetch_after = wait.unwrap_or(now);
+            let delay =
+                node.catching_up.as_ref().map(|budget| budget.available_at(MAX_PIECES_PULLED * PIECE_BYTES));
+            node.fetch_after = delay.unwrap_or(now);
             return;
         }
         let pieces = download.pull(now, budget);
@@ -246,6 +250,6 @@
             budget.spend(now, pieces.len() * PIECE_BYTES);
         }
         let (from, digest) = (download.from.clone(), download.transfer.digest);
-        node.send(&from, Body::Pull { digest, pieces }, out);
+        node.send(&from, Body::Pull { digest, pieces }, actions);
     }
 }
--- a/crates/distribution/src/machine/mod.rs
+++ b/crates/distribution/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! A node's part in the distribution: events and time go in, actions come out.
+//! The state machine of one node: it takes events with the current time and returns actions.
 
 mod applying;
 mod fetching;
@@ -22,158 +22,159 @@
 use crate::server::{Budget, Server};
 use crate::stored_state::{Document, FileWrite, StagedContent, StoredState};
 use crate::wire::{self, encode, Body, Envelope};
-use applying::{Base, Work};
-use publishing::InPublication;
+use applying::{UnverifiedBase, Work};
+use publishing::PendingPublication;
 pub use publishing::{ProposalError, Publication, PublishError, Ticket};
-use saving::Saving;
-use serving::Wanted;
+use saving::SaveState;
+use serving::RequestedRevision;
 use staging::Staging;
 
-/// How the agreed log stands at this node.
+/// State of the replicated log at this node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogState {
-    /// Its epoch.
+    /// Epoch of the log.
     pub epoch: u64,
-    /// The revision of the register's value under [`crate::REGISTER_KEY`]; 0: there is none.
+    /// Revision of the value of the register [`crate::REGISTER_KEY`]; 0 if there is none.
     pub value_revision: u64,
-    /// Whether it is as new as anybody told of late.
+    /// Whether the local copy is as recent as any state that other nodes have announced lately.
     pub fresh: bool,
-    /// What stands there.
+    /// The announcement in the register.
     pub announcement: Option<Announcement>,
 }
 
-/// What a node is told.
+/// An input of the state machine.
 #[derive(Debug)]
 pub enum Event<'a> {
     /// Time has passed.
     Tick,
-    /// A datagram came.
+    /// A datagram was received.
     Datagram(&'a [u8]),
-    /// Who is there, as membership and log see it now; this node may be among them.
+    /// The nodes that membership and log know now; this node may be among them.
     Peers(Vec<Peer>),
-    /// How the log stands.
+    /// The state of the log changed.
     Log(LogState),
-    /// What an [`Action::Compose`] gave.
+    /// The result of an [`Action::Compose`].
     Composed(Result<Arc<[u8]>, Rejection>),
-    /// What came of an [`Action::Apply`].
+    /// The result of an [`Action::Apply`].
     Applied(Result<(), Rejection>),
-    /// Whether the last write is durable.
+    /// Whether the write of the last [`Action::Persist`] is durable.
     Persisted(bool),
-    /// A revision is to be published here.
+    /// A revision is to be published at this node.
     Publish(Publication),
-    /// What came of an [`Action::Propose`].
+    /// The result of an [`Action::Propose`].
     Proposed(Ticket, Result<(), ProposalError>),
 }
 
-/// What it wants done.
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this datagram.
+    /// Sends a datagram.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// The datagram.
         bytes: Vec<u8>,
     },
-    /// Apply these deltas, in order, to a copy of the document, and tell the result. One at most is under way.
+    /// Applies deltas, in order, to a copy of the document, and returns the result. At most one is in progress.
     Compose {
-        /// The document; empty where there is none yet.
+        /// The document; empty if there is none yet.
         base: Arc<[u8]>,
         /// The deltas.
         deltas: Vec<Delta>,
     },
-    /// Put this document in force between two requests, and tell whether it is. One at most is under way.
+    /// Puts a document in force between two requests, and returns the result. At most one is in progress.
     Apply(Document),
-    /// FileWrite this and tell whether it is durable. One at most is under way.
+    /// Performs a disk write, and returns whether it is durable. At most one is in progress.
     Persist(FileWrite),
-    /// Have this announcement agreed on, where the register still stands at this revision, and tell the outcome.
+    /// Proposes an announcement to the log on the condition that the register is unchanged, and returns the result.
     Propose {
-        /// Of which publication.
+        /// The publication.
         ticket: Ticket,
-        /// What.
+        /// The announcement to propose.
         announcement: Announcement,
-        /// Revision of the register's value; 0: there must be none.
+        /// Expected revision of the register's value; 0 if the register must be empty.
         expect: u64,
     },
-    /// A publication is over.
+    /// A publication has ended.
     Published(Ticket, Result<RevisionId, PublishError>),
-    /// Something that others may want to know.
+    /// Reports an event that needs no action from the state machine's host.
     Notify(Notification),
 }
 
-/// What others may want to know.
+/// An event that the host may log or display.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
-    /// A revision is in force here.
+    /// A revision came into force at this node.
     InForce(Announcement),
-    /// A revision is refused here, with the reason; the one before stays in force.
+    /// This node refuses a revision, for the given reason; the previous one stays in force.
     Refused(RevisionId, String),
-    /// What a node sent does not have the digest that it should have; it is fetched from another.
+    /// Content from a node does not have the offered digest; it is fetched from another node.
     DigestMismatch(Name, RevisionId),
-    /// Deltas did not lead to the announced digest; the whole document is fetched.
+    /// Deltas did not lead to the announced digest; the whole document is fetched instead.
     ChainMismatch(RevisionId),
-    /// The revision that was in force from the disk is not of this log: it is set aside, with the reason.
+    /// The revision that was restored from the disk does not belong to this log. It is set aside for the given reason.
     SetAside(RevisionId, String),
-    /// The disk does not take the revision in force, or takes it again.
+    /// Whether disk writes succeed, reported when it changes.
     StorageAvailable(bool),
-    /// What the log announces is lower than what is held here.
+    /// The log announces a lower revision than this node has.
     LogBehind(RevisionId),
 }
 
-/// One node's part.
+/// State machine of one node.
 pub struct Distribution {
-    id: Identity,
+    identity: Identity,
     tuning: Tuning,
     rng: fastrand::Rng,
-    peers: Vec<Peer>, // others, by name
-    votes: bool,
+    peers: Vec<Peer>, // other nodes, sorted by name
+    is_voter: bool,
     log: LogState,
-    log_heard: Option<Nanos>,
-    contradicted: Option<Nanos>, // since when a fresh log is lower than what is held
+    log_fresh_at: Option<Nanos>,
+    contradicted_since: Option<Nanos>, // since when a fresh log contradicts `verified`
     announcements: BTreeMap<RevisionId, Announcement>,
-    held: Option<Document>, // verified, whether or not it could be applied
-    base: Option<Base>,     // fetched, and not verified but by what deltas make of it
+    verified: Option<Document>, // latest verified document, even if it could not be applied
+    base: Option<UnverifiedBase>, // fetched document that is verified only through the result of deltas
     in_force: Option<Document>,
-    forsaken: bool, // what is in force was set aside, and serves until something else can
+    in_force_set_aside: bool, // in force until another revision replaces it
     refused: Option<(RevisionId, String)>,
     set_aside: Option<(RevisionId, String)>,
     work: Work,
-    catching_up: Option<Budget>, // the pace of a node that has started and not yet caught up
+    catching_up: Option<Budget>, // fetch rate limit from the start until the node has caught up
     fetch_after: Nanos,
     history: History,
     server: Server,
     staged: VecDeque<(Nanos, StagedContent)>,
     staging: Option<Staging>,
-    publications: BTreeMap<Ticket, InPublication>,
+    publications: BTreeMap<Ticket, PendingPublication>,
     reports: Reports,
     report_at: Nanos,
-    saving: Saving,
-    faults: BTreeMap<wire::DatagramError, u64>,
+    saving: SaveState,
+    rejected_datagrams: BTreeMap<wire::DatagramError, u64>,
     sent_bytes: u64,
 }
 
 impl Distribution {
-    /// A node that has just started; `saved` is what its disk held. A saved revision is applied at once.
+    /// Creates a node that has just started with `saved` from its disk. The stored revision is applied at once.
     pub fn new(
-        id: Identity, tuning: Tuning, saved: StoredState, seed: u64, now: Nanos, out: &mut Vec<Action>,
+        identity: Identity, tuning: Tuning, saved: StoredState, seed: u64, now: Nanos,
+        actions: &mut Vec<Action>,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (fetch_after, report_at) = (now + rng.u64(0..MAX_START_DELAY), now + rng.u64(0..REPORT_INTERVAL));
         let catching_up = Some(Budget::new(tuning.catch_up_rate, now));
         let mut node = Distribution {
-            id,
+            identity,
             tuning,
             rng,
             peers: Vec::new(),
-            votes: false,
+            is_voter: false,
             log: LogState::default(),
-            log_heard: None,
-            contradicted: None,
+            log_fresh_at: None,
+            contradicted_since: None,
             announcements: BTreeMap::new(),
-            held: None,
+            verified: None,
             base: None,
             in_force: None,
-            forsaken: false,
+            in_force_set_aside: false,
             refused: None,
             set_aside: None,
             work: Work::Idle,
@@ -186,152 +187,162 @@
             publications: BTreeMap::new(),
             reports: Reports::default(),
             report_at,
-            saving: Saving::default(),
-            faults: BTreeMap::new(),
+            saving: SaveState::default(),
+            rejected_datagrams: BTreeMap::new(),
             sent_bytes: 0,
         };
         if let Some(document) = saved.in_force {
-            node.saving.has(document.announcement.id);
-            node.restore(document, out);
+            node.saving.restored(document.announcement.id);
+            node.restore(document, actions);
         }
         node
     }
 
-    /// Takes one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
+    /// Handles one event and appends the resulting actions.
+    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
             Event::Datagram(bytes) => match wire::decode(bytes) {
-                Ok(envelope) if envelope.cluster != self.id.cluster => {
-                    self.fault(wire::DatagramError::WrongCluster)
+                Ok(envelope) if envelope.cluster != self.identity.cluster => {
+                    self.count_rejected(wire::DatagramError::WrongCluster)
                 }
-                Ok(envelope) if envelope.to != self.id.name => {
-                    self.fault(wire::DatagramError::WrongRecipient)
+                Ok(envelope) if envelope.to != self.identity.name => {
+                    self.count_rejected(wire::DatagramError::WrongRecipient)
                 }
-                Ok(envelope) => self.hear(now, envelope, out),
-                Err(fault) => self.fault(fault),
+                Ok(envelope) => self.receive(now, envelope, actions),
+                Err(error) => self.count_rejected(error),
             },
-            Event::Peers(peers) => self.see(peers),
-            Event::Log(state) => self.follow(now, state, out),
-            Event::Composed(result) => self.composed(now, result, out),
-            Event::Applied(result) => self.applied(now, result, out),
-            Event::Persisted(durable) => self.persisted(now, durable, out),
-            Event::Publish(publication) => self.publish(now, publication, out),
-            Event::Proposed(ticket, outcome) => self.proposed(ticket, outcome, out),
+            Event::Peers(peers) => self.update_peers(peers),
+            Event::Log(state) => self.log_changed(now, state, actions),
+            Event::Composed(result) => self.composed(now, result, actions),
+            Event::Applied(result) => self.applied(now, result, actions),
+            Event::Persisted(durable) => self.persisted(now, durable, actions),
+            Event::Publish(publication) => self.publish(now, publication, actions),
+            Event::Proposed(ticket, outcome) => self.proposed(ticket, outcome, actions),
         }
-        self.turn(now, out);
+        self.run_due_work(now, actions);
     }
 
-    /// When it next wants a tick.
+    /// Returns when the next [`Event::Tick`] is needed.
     pub fn due(&self) -> Nanos {
-        let publications = self.publications.values().map(InPublication::due);
+        let publications = self.publications.values().map(PendingPublication::due);
         let staging = self.staging.iter().map(Staging::due);
-        let set_aside = self.contradicted.iter().map(|since| since + crate::bounds::SET_ASIDE_DELAY);
+        let set_aside = self.contradicted_since.iter().map(|since| since + crate::bounds::SET_ASIDE_DELAY);
         let all = publications.chain(staging).chain(set_aside).chain(self.server.due());
         all.chain(self.work_due()).chain(self.saving_due()).fold(self.report_at, Nanos::min)
     }
 
-    /// All that has come due.
-    fn turn(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        self.weigh_set_aside(now, out);
-        self.work(now, out);
-        self.stage_more(now, out);
-        self.push_publications(now, out);
-        self.serve(now, out);
-        self.report(now, out);
-        self.save(now, out);
+    /// Performs all work that is due.
+    fn run_due_work(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        self.set_aside_contradicted(now, actions);
+        self.advance_work(now, actions);
+        self.advance_staging(now, actions);
+        self.advance_publications(now, actions);
+        self.serve(now, actions);
+        self.report(now, actions);
+        self.save(now, actions);
     }
 
-    fn see(&mut self, peers: Vec<Peer>) {
-        self.votes = peers.iter().any(|peer| peer.name == self.id.name && peer.votes);
+    fn update_peers(&mut self, peers: Vec<Peer>) {
+        self.is_voter = peers.iter().any(|peer| peer.name == self.identity.name && peer.votes);
         self.peers = peers;
-        self.peers.retain(|peer| peer.name != self.id.name);
+        self.peers.retain(|peer| peer.name != self.identity.name);
         self.peers.sort_by(|one, other| one.name.cmp(&other.name));
     }
 
-    fn fault(&mut self, fault: wire::DatagramError) {
-        *self.faults.entry(fault).or_default() += 1;
+    fn count_rejected(&mut self, error: wire::DatagramError) {
+        *self.rejected_datagrams.entry(error).or_default() += 1;
     }
 
-    /// Datagrams without effect, by reason.
+    /// Returns the number of rejected datagrams by reason.
     pub fn rejected_datagrams(&self) -> &BTreeMap<wire::DatagramError, u64> {
-        &self.faults
+        &self.rejected_datagrams
     }
 
-    /// Who is there, as this node was told last; it is not among them.
+    /// Returns the other nodes of the last [`Event::Peers`].
     pub fn peers(&self) -> &[Peer] {
         &self.peers
     }
 
-    /// Bytes sent since the start.
+    /// Returns the number of bytes sent since the start.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// The document in force.
+    /// Returns the document in force.
     pub fn in_force(&self) -> Option<&Document> {
         self.in_force.as_ref()
     }
 
-    /// The latest verified document, which a next revision is made from. It differs from the one in force where the
-    /// host has refused it.
+    /// Returns the latest verified document, on which the next revision is based. It differs from the document in force if
+    /// the host refused it.
     pub fn verified_document(&self) -> Option<&Document> {
-        self.held.as_ref()
+        self.verified.as_ref()
     }
 
-    /// Everything about the work under way in a line, for whoever looks for a fault.
+    /// Returns a one-line summary of the state for debugging.
     pub fn debug_summary(&self) -> String {
         let id = |document: &Option<Document>| document.as_ref().map(|document| document.announcement.id);
         format!(
             "log {:?}, held {:?}, in force {:?}, refused {:?}, {}, {} staged, history {:?}",
             self.log.announcement.map(|announcement| announcement.id),
-            id(&self.held),
+            id(&self.verified),
             id(&self.in_force),
             self.refused,
-            self.work.text(),
+            self.work.describe(),
             self.staged.len(),
             self.history.size(),
         )
     }
 
     fn own_hash(&self) -> u32 {
-        reports::hash(&self.id.name)
+        reports::hash(&self.identity.name)
     }
 
-    fn held_digest(&self) -> Option<Digest> {
-        self.held.as_ref().map(|document| document.announcement.digest)
+    fn verified_digest(&self) -> Option<Digest> {
+        self.verified.as_ref().map(|document| document.announcement.digest)
     }
 
-    fn send(&mut self, to: &Name, body: Body, out: &mut Vec<Action>) {
+    fn send(&mut self, to: &Name, body: Body, actions: &mut Vec<Action>) {
         let Ok(place) = self.peers.binary_search_by(|peer| peer.name.cmp(to)) else { return };
         let address = self.peers[place].address;
-        let envelope =
-            Envelope { cluster: self.id.cluster, from: self.id.name.clone(), to: to.clone(), body };
-        // One that is too long cannot be made from what is bounded; it would be lost like any other.
+        let envelope = Envelope {
+            cluster: self.identity.cluster,
+            from: self.identity.name.clone(),
+            to: to.clone(),
+            body,
+        };
+        // The bounds rule out a datagram that is too long; one that were too long would be dropped as if lost.
         if let Some(bytes) = encode(&envelope) {
             self.sent_bytes += bytes.len() as u64;
-            out.push(Action::Send { to: address, bytes });
+            actions.push(Action::Send { to: address, bytes });
         }
     }
 
-    fn hear(&mut self, now: Nanos, envelope: Envelope, out: &mut Vec<Action>) {
+    fn receive(&mut self, now: Nanos, envelope: Envelope, actions: &mut Vec<Action>) {
         let Envelope { from, body, .. } = envelope;
         match body {
             Body::Request { have, want, digest, snapshot } => {
-                self.requested(now, &from, have, Wanted { id: want, digest, snapshot }, out);
+                self.request_received(
+                    now,
+                    &from,
+                    have,
+                    RequestedRevision { id: want, digest, snapshot },
+                    actions,
+                );
             }
-            Body::Pull { digest, pieces } => self.pulled(now, &from, digest, &pieces),
+            Body::Pull { digest, pieces } => self.pull_received(now, &from, digest, &pieces),
             Body::Offer { want, makes, transfer, first } => {
-                self.offered(now, &from, want, makes, transfer, &first);
+                self.offer_received(now, &from, want, makes, transfer, &first);
             }
-            Body::Missing { want } => self.denied(now, &from, want, false),
-            Body::Busy { want } => self.denied(now, &from, want, true),
-            Body::Piece { digest, number, bytes } => self.piece(now, digest, number, &bytes),
+            Body::Missing { want } => self.request_denied(now, &from, want, false),
+            Body::Busy { want } => self.request_denied(now, &from, want, true),
+            Body::Piece { digest, number, bytes } => self.piece_received(now, digest, number, &bytes),
             Body::Stage { announcement, base, transfer } => {
-                self.asked_to_stage(now, from, announcement, base, transfer, out);
+                self.stage_requested(now, from, announcement, base, transfer, actions);
             }
-            Body::Staged { announcement } => self.staged_at(from, &announcement),
-            Body::Reports { reports, answer } => self.reported(now, &from, &reports, answer, out),
+            Body::Staged { announcement } => self.staged_received(from, &announcement),
+            Body::Reports { reports, answer } => self.reports_received(now, &from, &reports, answer, actions),
         }
     }
 }
--- a/crates/distribution/src/machine/publishing.rs
+++ b/crates/distribution/src/machine/publishing.rs
@@ -1,4 +1,4 @@
-//! A revision that is published here: its content goes to a majority of the voters before the log announces it.
+//! Publishing of revisions: a majority of the voters stores the content before it is proposed to the log.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,20 +9,20 @@
 use crate::bounds::{MAX_CONTENT_BYTES, MAX_PUBLICATIONS, OFFER_INTERVAL, STAGE_TIMEOUT};
 use crate::config::{Name, Nanos};
 use crate::content::Delta;
-use crate::history::Link;
+use crate::history::ChainLink;
 use crate::revision::{Announcement, Digest, RevisionId};
 use crate::stored_state::StagedContent;
 use crate::wire::{Body, Transfer, TransferKind};
 
-/// Names a publication at its node.
+/// Identifies a publication at its node.
 pub type Ticket = u64;
 
-/// What is to be published.
+/// A revision to publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Publication {
-    /// By which its outcome is told.
+    /// Identifies the publication in its result.
     pub ticket: Ticket,
-    /// The revision that it was made from; none: the first.
+    /// The revision that it is based on; `None` for the first.
     pub base: Option<RevisionId>,
     /// Format of the document.
     pub format: u16,
@@ -30,120 +30,124 @@
     pub document: Arc<[u8]>,
     /// The delta from the base, if there is one.
     pub delta: Option<Arc<[u8]>>,
-    /// Publish although this node does not hold what the log announces, because its content is lost.
+    /// Publish although this node does not have the announced revision, because its content is lost.
     pub over_missing: bool,
 }
 
-/// Why the log has not taken an announcement.
+/// Why the log did not accept an announcement.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProposalError {
-    /// Another one stands there by now.
-    #[error("another revision was announced meanwhile")]
+    /// Another announcement is in the register by now.
+    #[error("another revision was announced in the meantime")]
     Superseded,
-    /// Nobody has confirmed it; it may still come to be.
-    #[error("nobody has confirmed it in time")]
+    /// The log did not confirm the announcement; it may still be committed.
+    #[error("the log did not confirm the announcement in time")]
     Unconfirmed,
-    /// The log cannot take it.
+    /// The log rejected the announcement.
     #[error("{0}")]
     Rejected(String),
 }
 
-/// Why a revision is not published.
+/// Why a revision was not published.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// Another publisher was first.
-    #[error("revision {0} is the latest here: make the change from it and publish again")]
+    /// Another publication came first.
+    #[error("revision {0} is the latest at this node; base the change on it and publish again")]
     Superseded(RevisionId),
-    /// This node does not hold what the log announces.
-    #[error("this node has not yet fetched the latest revision: try again, or at another node")]
+    /// This node does not have the announced revision.
+    #[error("this node has not yet fetched the latest revision; retry, or use another node")]
     Behind,
-    /// Too long.
-    #[error("{0} bytes, {MAX_CONTENT_BYTES} at most: take out what nobody needs")]
+    /// The document or the delta is too long.
+    #[error(
+        "content has {0} bytes, at most {MAX_CONTENT_BYTES} are possible; remove entries that are not needed"
+    )]
     TooLong(usize),
-    /// Too many at once.
-    #[error("too many publications at once: try again")]
+    /// Too many publications are in progress.
+    #[error("too many publications are in progress; retry later")]
     Busy,
-    /// The content is not kept by enough voters; nothing was announced.
-    #[error("{staged} of {voters} voters have kept the content in time, a majority is needed: see whether most are up")]
+    /// A majority of the voters did not store the content; nothing was proposed.
+    #[error("{staged} of {voters} voters stored the content in time, a majority is needed; check whether most voters are up")]
     NotStaged {
-        /// How many have.
+        /// Number of voters that stored it.
         staged: usize,
-        /// How many there are.
+        /// Number of voters.
         voters: usize,
     },
-    /// The log has not confirmed the announcement; it may still come to be.
-    #[error("not confirmed in time: see which revision the log announces before publishing again")]
+    /// The log did not confirm the announcement; it may still be committed.
+    #[error("not confirmed in time; check which revision the log announces before publishing again")]
     Unconfirmed,
-    /// The log has not taken the announcement.
-    #[error("the log did not take the announcement: {0}")]
+    /// The log rejected the announcement.
+    #[error("the log rejected the announcement: {0}")]
     ProposalRejected(String),
-    /// The log was lost and founded anew while the content was on its way to the voters.
-    #[error("the log was founded anew meanwhile: see which revision it announces, then publish again")]
+    /// The log was lost and created anew while the content was on its way to the voters.
+    #[error(
+        "the log was created anew in the meantime; check which revision it announces, then publish again"
+    )]
     NewEpoch,
-    /// The part that publishes has ended.
-    #[error("this process takes no part any more: ask another node")]
+    /// This process has stopped taking part in the distribution.
+    #[error("this process no longer takes part in the distribution; use another node")]
     NotParticipating,
 }
 
-/// One under way.
+/// A publication in progress.
 #[derive(Clone, Debug)]
-pub struct InPublication {
+pub struct PendingPublication {
     content: StagedContent,
-    epoch: u64, // of the log when it began
-    expect: u64,
-    kept: BTreeSet<Name>,
-    until: Nanos,
-    again: Nanos,
+    epoch: u64, // epoch of the log at the start of the publication
+    expected_value_revision: u64,
+    staged_by: BTreeSet<Name>,
+    deadline: Nanos,
+    next_offer_at: Nanos,
     proposed: bool,
 }
 
-impl InPublication {
-    /// What voters fetch.
+impl PendingPublication {
+    /// Describes the transfer that voters fetch.
     pub fn transfer(&self) -> Transfer {
         self.content.transfer
     }
 
-    /// Its bytes.
+    /// Returns the content of the transfer.
     pub fn content(&self) -> Arc<[u8]> {
         self.content.bytes.clone()
     }
 
-    /// When it next wants a look.
+    /// Returns when the publication next needs a check.
     pub fn due(&self) -> Nanos {
         if self.proposed {
             Nanos::MAX
         } else {
-            self.until.min(self.again)
+            self.deadline.min(self.next_offer_at)
         }
     }
 }
 
 impl Distribution {
-    pub(super) fn publish(&mut self, now: Nanos, publication: Publication, out: &mut Vec<Action>) {
+    pub(super) fn publish(&mut self, now: Nanos, publication: Publication, actions: &mut Vec<Action>) {
         let ticket = publication.ticket;
         match self.prepare(now, publication) {
             Ok(prepared) => {
-                // The publisher applies it from here as soon as it is announced.
-                self.keep_staged(now, prepared.content.clone());
+                // The publisher itself applies the staged content as soon as it is announced.
+                self.store_staged(now, prepared.content.clone());
                 self.publications.insert(ticket, prepared);
             }
-            Err(error) => out.push(Action::Published(ticket, Err(error))),
+            Err(error) => actions.push(Action::Published(ticket, Err(error))),
         }
     }
 
-    fn prepare(&self, now: Nanos, publication: Publication) -> Result<InPublication, PublishError> {
+    fn prepare(&self, now: Nanos, publication: Publication) -> Result<PendingPublication, PublishError> {
         let Publication { base, format, document, delta, over_missing, .. } = publication;
-        let longest = document.len().max(delta.as_ref().map_or(0, |delta| delta.len()));
-        if longest > MAX_CONTENT_BYTES {
-            return Err(PublishError::TooLong(longest));
+        let max_length = document.len().max(delta.as_ref().map_or(0, |delta| delta.len()));
+        if max_length > MAX_CONTENT_BYTES {
+            return Err(PublishError::TooLong(max_length));
         }
         if self.publications.len() >= MAX_PUBLICATIONS {
             return Err(PublishError::Busy);
         }
         let announced = self.log.announcement.map(|announcement| announcement.id);
-        let held = self.held_id();
-        let heard = self.log.epoch > 0;
-        if !heard || announced > held && !over_missing {
+        let held = self.verified_id();
+        let log_known = self.log.epoch > 0;
+        if !log_known || announced > held && !over_missing {
             return Err(PublishError::Behind);
         }
         if base != held {
@@ -160,26 +164,26 @@
         };
         let (kind, bytes) = self.content(&announcement, document, delta);
         let transfer = Transfer::of(kind, &bytes);
-        let content = StagedContent { announcement, base: self.held_digest(), transfer, bytes };
-        Ok(InPublication {
+        let content = StagedContent { announcement, base: self.verified_digest(), transfer, bytes };
+        Ok(PendingPublication {
             content,
             epoch: self.log.epoch,
-            expect: self.log.value_revision,
-            kept: BTreeSet::new(),
-            until: now + STAGE_TIMEOUT,
-            again: now,
+            expected_value_revision: self.log.value_revision,
+            staged_by: BTreeSet::new(),
+            deadline: now + STAGE_TIMEOUT,
+            next_offer_at: now,
             proposed: false,
         })
     }
 
-    /// The delta where there is one that is shorter than the document, else the document.
+    /// Returns the delta as a chain if there is one that is shorter than the document, else the document.
     fn content(
         &self, announcement: &Announcement, document: Arc<[u8]>, delta: Option<Arc<[u8]>>,
     ) -> (TransferKind, Arc<[u8]>) {
-        let delta = delta.filter(|delta| delta.len() < document.len() && self.held.is_some());
+        let delta = delta.filter(|delta| delta.len() < document.len() && self.verified.is_some());
         let chain = delta.and_then(|bytes| {
             let delta = Delta { base: announcement.base, number: announcement.id.number, bytes };
-            postcard::to_stdvec(&[Link { result: announcement.digest, delta }][..]).ok()
+            postcard::to_stdvec(&[ChainLink { result: announcement.digest, delta }][..]).ok()
         });
         match chain {
             Some(chain) => (TransferKind::Chain, chain.into()),
@@ -187,53 +191,53 @@
         }
     }
 
-    /// A voter has kept the content of a publication.
-    pub(super) fn staged_at(&mut self, voter: Name, announcement: &Announcement) {
+    /// Records that a voter has stored the content of a publication.
+    pub(super) fn staged_received(&mut self, voter: Name, announcement: &Announcement) {
         for publication in self.publications.values_mut() {
             if publication.content.announcement == *announcement {
-                publication.kept.insert(voter.clone());
+                publication.staged_by.insert(voter.clone());
             }
         }
     }
 
-    /// Offers what is published to voters, and proposes what enough of them have kept.
-    pub(super) fn push_publications(&mut self, now: Nanos, out: &mut Vec<Action>) {
+    /// Offers publications to voters, and proposes those that a majority has stored.
+    pub(super) fn advance_publications(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let voters: Vec<Name> =
             self.peers.iter().filter(|peer| peer.votes).map(|peer| peer.name.clone()).collect();
-        let count = voters.len() + usize::from(self.votes);
-        let own = usize::from(self.votes && !self.saving.wants_staged());
+        let count = voters.len() + usize::from(self.is_voter);
+        let own = usize::from(self.is_voter && !self.saving.is_staged_pending());
         let tickets: Vec<Ticket> = self.publications.keys().copied().collect();
         for ticket in tickets {
             let Some(publication) = self.publications.get_mut(&ticket).filter(|known| !known.proposed) else {
                 continue;
             };
-            let kept = own + voters.iter().filter(|voter| publication.kept.contains(*voter)).count();
+            let stored = own + voters.iter().filter(|voter| publication.staged_by.contains(*voter)).count();
             let StagedContent { announcement, base, transfer, .. } = publication.content;
             if publication.epoch != self.log.epoch {
-                // In the new epoch another revision may come by this number.
+                // In the new epoch another revision may get the same number.
                 self.publications.remove(&ticket);
-                out.push(Action::Published(ticket, Err(PublishError::NewEpoch)));
-            } else if 2 * kept > count {
+                actions.push(Action::Published(ticket, Err(PublishError::NewEpoch)));
+            } else if 2 * stored > count {
                 publication.proposed = true;
-                let expect = publication.expect;
-                out.push(Action::Propose { ticket, announcement, expect });
-            } else if now >= publication.until {
+                let expect = publication.expected_value_revision;
+                actions.push(Action::Propose { ticket, announcement, expect });
+            } else if now >= publication.deadline {
                 self.publications.remove(&ticket);
-                let error = PublishError::NotStaged { staged: kept, voters: count };
-                out.push(Action::Published(ticket, Err(error)));
-            } else if now >= publication.again {
-                publication.again = now + OFFER_INTERVAL;
+                let error = PublishError::NotStaged { staged: stored, voters: count };
+                actions.push(Action::Published(ticket, Err(error)));
+            } else if now >= publication.next_offer_at {
+                publication.next_offer_at = now + OFFER_INTERVAL;
                 let missing: Vec<&Name> =
-                    voters.iter().filter(|voter| !publication.kept.contains(*voter)).collect();
+                    voters.iter().filter(|voter| !publication.staged_by.contains(*voter)).collect();
                 for voter in missing {
-                    self.send(voter, Body::Stage { announcement, base, transfer }, out);
+                    self.send(voter, Body::Stage { announcement, base, transfer }, actions);
                 }
             }
         }
     }
 
     pub(super) fn proposed(
-        &mut self, ticket: Ticket, outcome: Result<(), ProposalError>, out: &mut Vec<Action>,
+        &mut self, ticket: Ticket, outcome: Result<(), ProposalError>, actions: &mut Vec<Action>,
     ) {
         let Some(publication) = self.publications.remove(&ticket) else { return };
         let id = publication.content.announcement.id;
@@ -242,8 +246,8 @@
             Ok(()) => Ok(id),
             Err(ProposalError::Superseded) => Err(PublishError::Superseded(latest)),
             Err(ProposalError::Unconfirmed) => Err(PublishError::Unconfirmed),
-            Err(ProposalError::Rejected(why)) => Err(PublishError::ProposalRejected(why)),
+            Err(ProposalError::Rejected(reason)) => Err(PublishError::ProposalRejected(reason)),
         };
-        out.push(Action::Published(ticket, outcome));
+        actions.push(Action::Published(ticket, outcome));
     }
 }
--- a/crates/distribution/src/machine/reporting.rs
+++ b/crates/distribution/src/machine/reporting.rs
@@ -6,27 +6,27 @@
 use crate::bounds::REPORT_INTERVAL;
 use crate::config::{Defect, Name, Nanos, Peer};
 use crate::overview::{Overview, MAX_NAMES};
-use crate::reports::{self, report, Known};
+use crate::reports::{self, report, NodeReport};
 use crate::revision::RevisionId;
 use crate::wire::{Body, Report};
 
 impl Distribution {
     /// This node's own report: what is set aside is in force, but counts for nothing.
-    fn own(&self, now: Nanos) -> Known {
-        let in_force = self.in_force.as_ref().filter(|_| !self.forsaken);
+    fn own_report(&self, now: Nanos) -> NodeReport {
+        let in_force = self.in_force.as_ref().filter(|_| !self.in_force_set_aside);
         let id = in_force.map_or_else(RevisionId::default, |document| document.announcement.id);
-        Known { id, refused: self.refused.is_some(), as_of: now }
+        NodeReport { id, refused: self.refused.is_some(), as_of: now }
     }
 
-    fn sample(&mut self, now: Nanos) -> Vec<Report> {
-        let mut reports = vec![report(now, self.own_hash(), self.own(now))];
+    fn sample_reports(&mut self, now: Nanos) -> Vec<Report> {
+        let mut reports = vec![report(now, self.own_hash(), self.own_report(now))];
         let from = self.rng.u32(..);
         reports.extend(self.reports.sample(now, from));
         reports
     }
 
     /// Tells one other node now and then.
-    pub(super) fn report(&mut self, now: Nanos, out: &mut Vec<Action>) {
+    pub(super) fn report(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if now < self.report_at {
             return;
         }
@@ -37,17 +37,17 @@
             return;
         }
         let to = alive[self.rng.usize(0..alive.len())].name.clone();
-        let reports = self.sample(now);
-        self.send(&to, Body::Reports { reports, answer: true }, out);
+        let reports = self.sample_reports(now);
+        self.send(&to, Body::Reports { reports, answer: true }, actions);
     }
 
-    pub(super) fn reported(
-        &mut self, now: Nanos, from: &Name, reports: &[Report], answer: bool, out: &mut Vec<Action>,
+    pub(super) fn reports_received(
+        &mut self, now: Nanos, from: &Name, reports: &[Report], answer: bool, actions: &mut Vec<Action>,
     ) {
-        self.reports.take(now, self.own_hash(), reports);
+        self.reports.merge(now, self.own_hash(), reports);
         if answer {
-            let reports = self.sample(now);
-            self.send(from, Body::Reports { reports, answer: false }, out);
+            let reports = self.sample_reports(now);
+            self.send(from, Body::Reports { reports, answer: false }, actions);
         }
     }
 
@@ -61,20 +61,20 @@
             refused_here: self.refused.clone(),
             set_aside: self.set_aside.clone(),
             unsaved: self.saving.is_failing(),
-            log_fresh_age: self.log_heard.map(|at| now.saturating_sub(at)),
+            log_fresh_age: self.log_fresh_at.map(|at| now.saturating_sub(at)),
             ..Overview::default()
         };
-        count(&mut overview, now, &self.id.name, Some(self.own(now)));
+        count(&mut overview, now, &self.identity.name, Some(self.own_report(now)));
         let mut names: BTreeMap<u32, usize> = BTreeMap::from([(self.own_hash(), 1)]);
         let live = || self.peers.iter().filter(|peer| peer.alive);
         live().for_each(|peer| *names.entry(reports::hash(&peer.name)).or_default() += 1);
         for peer in live() {
             let hash = reports::hash(&peer.name);
             // Where two names have one hash, nobody can say whose report it is.
-            let known = self.reports.of(now, hash).filter(|_| names.get(&hash) == Some(&1));
+            let known = self.reports.get(now, hash).filter(|_| names.get(&hash) == Some(&1));
             let known = match (known, self.tuning.defect) {
                 (None, Some(Defect::CountsSilentAsApplied)) => {
-                    latest.map(|id| Known { id, refused: false, as_of: now })
+                    latest.map(|id| NodeReport { id, refused: false, as_of: now })
                 }
                 _ => known,
             };
@@ -88,11 +88,11 @@
 
     /// Which revision is known to be in force at a node; none where nothing was heard of it for too long.
     pub fn reported_revision(&self, now: Nanos, name: &str) -> Option<RevisionId> {
-        self.reports.of(now, reports::hash(name)).map(|known| known.id)
+        self.reports.get(now, reports::hash(name)).map(|known| known.id)
     }
 }
 
-fn count(overview: &mut Overview, now: Nanos, name: &Name, known: Option<Known>) {
+fn count(overview: &mut Overview, now: Nanos, name: &Name, known: Option<NodeReport>) {
     overview.live += 1;
     let Some(known) = known else { return overview.unknown.add(name) };
     overview.oldest_report = overview.oldest_report.max(now.saturating_sub(known.as_of));
--- a/crates/distribution/src/machine/saving.rs
+++ b/crates/distribution/src/machine/saving.rs
@@ -8,35 +8,35 @@
 
 /// What is on the disk, and on its way there.
 #[derive(Debug, Default)]
-pub struct Saving {
-    on_disk: Option<RevisionId>,
-    under_way: Option<FileWrite>,
+pub struct SaveState {
+    saved_id: Option<RevisionId>,
+    in_progress: Option<FileWrite>,
     staged: Option<FileWrite>, // wanted
-    instead: Option<FileWrite>,
-    next: Nanos,
+    set_aside: Option<FileWrite>,
+    next_write_at: Nanos,
     failing: bool,
 }
 
-impl Saving {
+impl SaveState {
     /// The disk held this revision at the start.
-    pub fn has(&mut self, id: RevisionId) {
-        self.on_disk = Some(id);
+    pub fn restored(&mut self, id: RevisionId) {
+        self.saved_id = Some(id);
     }
 
     /// Wants all that is staged written, at once.
-    pub fn stage(&mut self, write: FileWrite) {
+    pub fn request_staged(&mut self, write: FileWrite) {
         self.staged = Some(write);
     }
 
     /// Wants this done before the next revision is written.
-    pub fn instead(&mut self, write: FileWrite) {
-        self.instead = Some(write);
-        self.on_disk = None;
+    pub fn request_set_aside(&mut self, write: FileWrite) {
+        self.set_aside = Some(write);
+        self.saved_id = None;
     }
 
     /// Whether what is staged is not durable yet.
-    pub fn wants_staged(&self) -> bool {
-        self.staged.is_some() || matches!(self.under_way, Some(FileWrite::Staged(_)))
+    pub fn is_staged_pending(&self) -> bool {
+        self.staged.is_some() || matches!(self.in_progress, Some(FileWrite::Staged(_)))
     }
 
     /// Whether the disk has failed the last write.
@@ -47,52 +47,55 @@
 
 impl Distribution {
     fn unsaved(&self) -> Option<FileWrite> {
-        let document = self.in_force.as_ref().filter(|_| !self.forsaken)?;
-        let saved = self.saving.on_disk == Some(document.announcement.id);
+        let document = self.in_force.as_ref().filter(|_| !self.in_force_set_aside)?;
+        let saved = self.saving.saved_id == Some(document.announcement.id);
         (!saved).then(|| FileWrite::InForce(document.clone()))
     }
 
     pub(super) fn saving_due(&self) -> Option<Nanos> {
-        let wants = self.saving.staged.is_some() || self.saving.instead.is_some() || self.unsaved().is_some();
-        (self.tuning.disk && wants && self.saving.under_way.is_none()).then_some(self.saving.next)
+        let has_pending =
+            self.saving.staged.is_some() || self.saving.set_aside.is_some() || self.unsaved().is_some();
+        (self.tuning.disk && has_pending && self.saving.in_progress.is_none())
+            .then_some(self.saving.next_write_at)
     }
 
     /// Begins the next write if one is wanted and none is under way.
-    pub(super) fn save(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        if !self.tuning.disk || self.saving.under_way.is_some() {
+    pub(super) fn save(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        if !self.tuning.disk || self.saving.in_progress.is_some() {
             return;
         }
         // Somebody waits for what is staged; after a failure all is tried again at one pace.
-        let write = match self.saving.staged.take_if(|_| !self.saving.failing || now >= self.saving.next) {
-            Some(staged) => staged,
-            None if now < self.saving.next => return,
-            None => match self.saving.instead.take().or_else(|| self.unsaved()) {
-                Some(write) => write,
-                None => return,
-            },
-        };
-        self.saving.under_way = Some(write.clone());
-        out.push(Action::Persist(write));
+        let write =
+            match self.saving.staged.take_if(|_| !self.saving.failing || now >= self.saving.next_write_at) {
+                Some(staged) => staged,
+                None if now < self.saving.next_write_at => return,
+                None => match self.saving.set_aside.take().or_else(|| self.unsaved()) {
+                    Some(write) => write,
+                    None => return,
+                },
+            };
+        self.saving.in_progress = Some(write.clone());
+        actions.push(Action::Persist(write));
     }
 
-    pub(super) fn persisted(&mut self, now: Nanos, durable: bool, out: &mut Vec<Action>) {
-        let Some(write) = self.saving.under_way.take() else { return };
+    pub(super) fn persisted(&mut self, now: Nanos, durable: bool, actions: &mut Vec<Action>) {
+        let Some(write) = self.saving.in_progress.take() else { return };
         if durable == self.saving.failing {
             self.saving.failing = !durable;
-            out.push(Action::Notify(Notification::StorageAvailable(durable)));
+            actions.push(Action::Notify(Notification::StorageAvailable(durable)));
         }
         if !durable {
-            self.saving.next = now + SAVE_RETRY_DELAY;
+            self.saving.next_write_at = now + SAVE_RETRY_DELAY;
             match write {
                 FileWrite::Staged(_) if self.saving.staged.is_none() => self.saving.staged = Some(write),
-                FileWrite::SetAside => self.saving.instead = Some(write),
+                FileWrite::SetAside => self.saving.set_aside = Some(write),
                 _ => {}
             }
             return;
         }
         if let FileWrite::InForce(document) = write {
-            self.saving.on_disk = Some(document.announcement.id);
-            self.saving.next = now + SAVE_INTERVAL;
+            self.saving.saved_id = Some(document.announcement.id);
+            self.saving.next_write_at = now + SAVE_INTERVAL;
         }
     }
 }
--- a/crates/distribution/src/machine/staging.rs
+++ b/crates/distribution/src/machine/staging.rs
@@ -26,20 +26,20 @@
 
 impl Distribution {
     /// A publisher asks this voter to keep some content.
-    pub(super) fn asked_to_stage(
+    pub(super) fn stage_requested(
         &mut self, now: Nanos, from: Name, announcement: Announcement, base: Option<Digest>,
-        transfer: Transfer, out: &mut Vec<Action>,
+        transfer: Transfer, actions: &mut Vec<Action>,
     ) {
         if self.is_staged(&announcement) {
             // It is told only when it is durable, where there is a disk.
-            if !self.saving.wants_staged() {
-                self.send(&from, Body::Staged { announcement }, out);
+            if !self.saving.is_staged_pending() {
+                self.send(&from, Body::Staged { announcement }, actions);
             }
             return;
         }
         let free = self.staging.as_ref().is_none_or(|staging| staging.download.is_stuck(now));
         let fits = transfer.length as usize <= MAX_CONTENT_BYTES + MAX_CONTENT_BYTES / 64;
-        if free && fits && self.votes {
+        if free && fits && self.is_voter {
             let download = Download::new(now, from, transfer);
             self.staging = download.map(|download| Staging { download, announcement, base });
         }
@@ -50,8 +50,8 @@
     }
 
     /// Goes on with what is fetched from a publisher, and drops what was never announced.
-    pub(super) fn stage_more(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let floor = self.held_id();
+    pub(super) fn advance_staging(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let floor = self.verified_id();
         let announcements = &self.announcements;
         self.staged.retain(|(since, staged)| {
             let id = staged.announcement.id;
@@ -60,7 +60,7 @@
         });
         let Some(mut staging) = self.staging.take() else { return };
         if staging.download.is_complete() {
-            return self.staged_whole(now, staging, out);
+            return self.finish_staging(now, staging, actions);
         }
         if staging.download.is_stuck(now) {
             return; // the publisher offers it again if it is still there
@@ -71,26 +71,26 @@
             if pieces.is_empty() {
                 break;
             }
-            self.send(&from, Body::Pull { digest, pieces }, out);
+            self.send(&from, Body::Pull { digest, pieces }, actions);
         }
         self.staging = Some(staging);
     }
 
-    fn staged_whole(&mut self, now: Nanos, staging: Staging, out: &mut Vec<Action>) {
+    fn finish_staging(&mut self, now: Nanos, staging: Staging, actions: &mut Vec<Action>) {
         let Staging { download, announcement, base } = staging;
         let (from, transfer) = (download.from.clone(), download.transfer);
         let bytes = download.into_bytes();
         if Digest::of(&bytes) != transfer.digest {
             return; // it is offered again
         }
-        self.keep_staged(now, StagedContent { announcement, base, transfer, bytes: bytes.into() });
-        if self.saving.wants_staged() {
+        self.store_staged(now, StagedContent { announcement, base, transfer, bytes: bytes.into() });
+        if self.saving.is_staged_pending() {
             return; // answered when it is offered again and durable
         }
-        self.send(&from, Body::Staged { announcement }, out);
+        self.send(&from, Body::Staged { announcement }, actions);
     }
 
-    pub(super) fn keep_staged(&mut self, now: Nanos, content: StagedContent) {
+    pub(super) fn store_staged(&mut self, now: Nanos, content: StagedContent) {
         if self.tuning.defect == Some(Defect::AppliesUncommitted) {
             self.log.announcement = Some(content.announcement);
         }
@@ -105,7 +105,7 @@
         }
         if self.tuning.disk {
             let staged = self.staged.iter().map(|(_, content)| content.clone()).collect();
-            self.saving.stage(FileWrite::Staged(staged));
+            self.saving.request_staged(FileWrite::Staged(staged));
         }
     }
 }
--- a/crates/distribution/src/overview.rs
+++ b/crates/distribution/src/overview.rs
@@ -1,19 +1,19 @@
-//! Which revision is in force where, in figures that an operator reads.
+//! Statistics for operators: the revision in force at each node.
 
 use std::collections::BTreeMap;
 
 use crate::config::{Name, Nanos};
 use crate::revision::RevisionId;
 
-/// Names of nodes that an overview holds at most, in each list.
+/// Maximum number of names in each list of an overview.
 pub const MAX_NAMES: usize = 16;
 
 /// A count of nodes, with the names of the first few.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeCount {
-    /// How many.
+    /// Number of nodes.
     pub count: usize,
-    /// Names of the first [`MAX_NAMES`].
+    /// Names of the first [`MAX_NAMES`] nodes.
     pub names: Vec<Name>,
 }
 
@@ -26,41 +26,41 @@
     }
 }
 
-/// The fleet as it is known at one node. A node is counted as applied only where it has said so itself within the last
-/// minute, at first or second hand.
+/// The fleet as one node knows it. A node counts as applied only if it reported so itself within the last minute,
+/// directly or through other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overview {
-    /// The latest revision that the log here announces.
+    /// The latest revision that the local copy of the log announces.
     pub latest: Option<RevisionId>,
     /// The revision in force at this node.
     pub in_force: Option<RevisionId>,
-    /// Digest of its document.
+    /// Digest of the document in force.
     pub digest: Option<crate::revision::Digest>,
-    /// The revision that this node refuses, and why.
+    /// The revision that this node refuses, and the reason.
     pub refused_here: Option<(RevisionId, String)>,
-    /// A revision of this node's disk that was set aside, and why.
+    /// The revision from this node's disk that was set aside, and the reason.
     pub set_aside: Option<(RevisionId, String)>,
-    /// Whether the disk has not taken the revision in force.
+    /// Whether the last disk write failed.
     pub unsaved: bool,
-    /// Nanoseconds since the log was last heard to be fresh; none: never since the start. What is in force may be as
-    /// old as that.
+    /// Nanoseconds since the local copy of the log was last known to be fresh; `None` if it never was since the start.
+    /// The revision in force may be outdated by as much.
     pub log_fresh_age: Option<Nanos>,
-    /// Live members, this node among them.
+    /// Number of live members, including this node.
     pub live: usize,
-    /// Those at which the latest revision is in force.
+    /// Number of nodes with the latest revision in force.
     pub applied: usize,
-    /// Those with an earlier one.
+    /// Nodes with an earlier revision in force.
     pub behind: NodeCount,
-    /// Those with a later one than the log here announces.
+    /// Number of nodes with a later revision in force than the local copy of the log announces.
     pub ahead: usize,
-    /// Those that refuse a revision.
+    /// Nodes that refuse a revision.
     pub refused: NodeCount,
-    /// Those of which nothing was heard for a minute.
+    /// Nodes without a report within the last minute.
     pub unknown: NodeCount,
-    /// The lowest revision in force at a node that is known; number 0: none is in force there.
+    /// The lowest reported revision and a node that reported it; number 0 means that none is in force there.
     pub lowest: Option<(RevisionId, Name)>,
-    /// Age of the oldest report that is counted.
+    /// Age of the oldest report that was counted, in nanoseconds.
     pub oldest_report: Nanos,
-    /// Known nodes by revision, the lowest [`MAX_NAMES`] of them.
+    /// Number of reporting nodes by revision, for the lowest [`MAX_NAMES`] revisions.
     pub revisions: BTreeMap<RevisionId, usize>,
 }
--- a/crates/distribution/src/reports.rs
+++ b/crates/distribution/src/reports.rs
@@ -1,4 +1,4 @@
-//! Which revision is in force where, as far as is known here and for how long.
+//! Reports of the revision in force at other nodes, with their age.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -10,29 +10,29 @@
 
 const AGE_STEP: Nanos = SECOND / 2;
 
-/// What is known of a node.
+/// The last report of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct NodeReport {
     /// The revision in force there.
     pub id: RevisionId,
-    /// Whether it refuses a later one.
+    /// Whether the node refuses a later revision.
     pub refused: bool,
-    /// When that was so, at the latest; it may have been earlier, never later.
+    /// Latest time at which the node may have made the report; it may have made it earlier.
     pub as_of: Nanos,
 }
 
-/// Reports of other nodes.
+/// Reports of other nodes, by hash of the name.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    known: BTreeMap<u32, Known>,
+    by_node: BTreeMap<u32, NodeReport>,
 }
 
-/// By which reports name a node. Spread evenly, also for names that are alike: what is told on is drawn by place among
-/// the hashes.
+/// Returns the hash by which reports identify a node. Similar names spread evenly, because reports to pass on are
+/// sampled by position among the hashes.
 pub fn hash(name: &str) -> u32 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(name.as_bytes());
-    // The finalizer of MurmurHash3: FNV leaves names that differ in their last byte next to each other.
+    // The finalizer of MurmurHash3. FNV alone maps names that differ in the last byte to neighbouring hashes.
     let mut hash = hasher.finish();
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
@@ -40,46 +40,46 @@
 }
 
 impl Reports {
-    /// Takes what another node tells. Its ages are rounded up, so nothing becomes younger by being told on.
-    pub fn take(&mut self, now: Nanos, own: u32, reports: &[Report]) {
+    /// Merges reports received from another node. Ages are rounded up, so passing a report on never makes it younger.
+    pub fn merge(&mut self, now: Nanos, own: u32, reports: &[Report]) {
         for report in reports.iter().filter(|report| report.node != own) {
             let Some(as_of) = now.checked_sub(Nanos::from(report.age) * AGE_STEP) else { continue };
             if now - as_of >= REPORT_TTL {
                 continue;
             }
-            let known = Known { id: report.id, refused: report.refused, as_of };
-            let full = self.known.len() >= MAX_STORED_REPORTS;
-            match self.known.get_mut(&report.node) {
+            let known = NodeReport { id: report.id, refused: report.refused, as_of };
+            let full = self.by_node.len() >= MAX_STORED_REPORTS;
+            match self.by_node.get_mut(&report.node) {
                 Some(before) if before.as_of >= as_of => {}
                 Some(before) => *before = known,
                 None if full => {}
                 None => {
-                    self.known.insert(report.node, known);
+                    self.by_node.insert(report.node, known);
                 }
             }
         }
     }
 
-    /// Drops what is too old to be believed.
+    /// Drops reports older than [`REPORT_TTL`].
     pub fn expire(&mut self, now: Nanos) {
-        self.known.retain(|_, known| now.saturating_sub(known.as_of) < REPORT_TTL);
+        self.by_node.retain(|_, known| now.saturating_sub(known.as_of) < REPORT_TTL);
     }
 
-    /// What is known of a node.
-    pub fn of(&self, now: Nanos, node: u32) -> Option<Known> {
-        self.known.get(&node).copied().filter(|known| now.saturating_sub(known.as_of) < REPORT_TTL)
+    /// Returns the unexpired report of a node.
+    pub fn get(&self, now: Nanos, node: u32) -> Option<NodeReport> {
+        self.by_node.get(&node).copied().filter(|known| now.saturating_sub(known.as_of) < REPORT_TTL)
     }
 
-    /// Some reports to be told on: those that follow a drawn place in the order of hashes.
+    /// Returns reports to pass on: those that follow the hash `from`, wrapping around.
     pub fn sample(&self, now: Nanos, from: u32) -> Vec<Report> {
-        let after = self.known.range(from..).chain(self.known.range(..from));
+        let after = self.by_node.range(from..).chain(self.by_node.range(..from));
         let fresh = after.filter(|(_, known)| now.saturating_sub(known.as_of) < REPORT_TTL - 2 * AGE_STEP);
         fresh.take(MAX_REPORTS_PER_DATAGRAM - 1).map(|(node, known)| report(now, *node, *known)).collect()
     }
 }
 
-/// A report, its age rounded up by at least the time that it may take on its way.
-pub fn report(now: Nanos, node: u32, known: Known) -> Report {
+/// Builds a report, with its age rounded up by at least one step for the time in transit.
+pub fn report(now: Nanos, node: u32, known: NodeReport) -> Report {
     let age = now.saturating_sub(known.as_of) / AGE_STEP + 1;
     Report { node, id: known.id, refused: known.refused, age: age.min(u8::MAX.into()) as u8 }
 }
--- a/crates/distribution/src/revision.rs
+++ b/crates/distribution/src/revision.rs
@@ -1,18 +1,18 @@
-//! Revisions, and how the agreed log announces one.
+//! Revisions and their announcement in the replicated log.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// The key of the log's register under which the latest announcement stands.
+/// Key of the log's register that holds the latest announcement.
 pub const REGISTER_KEY: &str = "configuration";
-/// Which revision. A later one is greater.
+/// Identifies a revision. A later revision compares greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RevisionId {
-    /// Epoch of the agreed log in which it was announced.
+    /// Epoch of the replicated log in which it was announced.
     pub epoch: u64,
-    /// Its number, counted from 1 through all epochs.
+    /// Number of the revision, counted from 1 across all epochs.
     pub number: u64,
 }
 
@@ -22,12 +22,12 @@
     }
 }
 
-/// The SHA-256 digest of some content.
+/// SHA-256 digest of content.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// The digest of these bytes.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Digest(Sha256::digest(bytes).into())
     }
@@ -46,33 +46,33 @@
     }
 }
 
-/// What the log says of a revision.
+/// Announcement of a revision in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Which revision.
+    /// The revision.
     pub id: RevisionId,
-    /// Format of the document: a node whose version does not know it refuses the revision by name.
+    /// Format of the document; a node whose version does not support it refuses the revision and reports why.
     pub format: u16,
     /// Digest of the whole document.
     pub digest: Digest,
     /// Length of the whole document in bytes.
     pub length: u32,
-    /// Number of the revision that it was made from; 0 for the first.
+    /// Number of the revision that it is based on; 0 for the first.
     pub base: u64,
 }
 
 impl Announcement {
-    /// As it stands in the register of the log.
+    /// Encodes the announcement for the register of the log.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// What stands in the register; none if it is no announcement.
+    /// Decodes the value of the register; `None` if it is not an announcement.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Whether these bytes are the document that it announces.
+    /// Returns whether `document` has the announced length and digest.
     pub fn matches(&self, document: &[u8]) -> bool {
         document.len() == self.length as usize && Digest::of(document) == self.digest
     }
--- a/crates/distribution/src/server.rs
+++ b/crates/distribution/src/server.rs
@@ -1,4 +1,4 @@
-//! What this node serves to others, and how fast.
+//! Transfers that this node serves to others, and their rate limit.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,135 +9,138 @@
 use crate::config::{Name, Nanos, SECOND};
 use crate::revision::Digest;
 
-/// A budget of bytes that refills at a rate.
+/// A token bucket of bytes.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: u64,
-    left: u64,
-    at: Nanos,
+    available: u64,
+    refilled_at: Nanos,
 }
 
 impl Budget {
-    /// A full one.
+    /// Creates a full budget.
     pub fn new(rate: u64, now: Nanos) -> Self {
-        Budget { rate, left: rate / BURST_DIVISOR, at: now }
+        Budget { rate, available: rate / BURST_DIVISOR, refilled_at: now }
     }
 
-    /// From now on it refills at this rate.
+    /// Sets the refill rate in bytes per second.
     pub fn set_rate(&mut self, rate: u64) {
         self.rate = rate;
     }
 
     fn refill(&mut self, now: Nanos) {
-        let gained = u128::from(self.rate) * u128::from(now.saturating_sub(self.at)) / u128::from(SECOND);
+        let gained =
+            u128::from(self.rate) * u128::from(now.saturating_sub(self.refilled_at)) / u128::from(SECOND);
         if gained > 0 {
-            self.left = self.left.saturating_add(gained as u64).min(self.rate / BURST_DIVISOR);
-            self.at = now;
+            self.available = self.available.saturating_add(gained as u64).min(self.rate / BURST_DIVISOR);
+            self.refilled_at = now;
         }
     }
 
-    /// Bytes that may be spent now.
-    pub fn left(&mut self, now: Nanos) -> u64 {
+    /// Returns the number of bytes that may be spent now.
+    pub fn available(&mut self, now: Nanos) -> u64 {
         self.refill(now);
-        self.left
+        self.available
     }
 
-    /// Takes so many bytes, if they are there.
+    /// Spends `bytes` if they are available, and returns whether they were.
     pub fn spend(&mut self, now: Nanos, bytes: usize) -> bool {
-        let enough = self.left(now) >= bytes as u64;
+        let enough = self.available(now) >= bytes as u64;
         if enough {
-            self.left -= bytes as u64;
+            self.available -= bytes as u64;
         }
         enough
     }
 
-    /// When so many bytes will be there, if nothing is spent before.
-    pub fn when(&self, bytes: usize) -> Nanos {
-        let lacks = (bytes as u64).saturating_sub(self.left);
-        self.at + lacks.saturating_mul(SECOND).div_ceil(self.rate.max(1))
+    /// Returns when `bytes` will be available if nothing is spent before.
+    pub fn available_at(&self, bytes: usize) -> Nanos {
+        let lacks = (bytes as u64).saturating_sub(self.available);
+        self.refilled_at + lacks.saturating_mul(SECOND).div_ceil(self.rate.max(1))
     }
 }
 
-/// A piece that somebody waits for.
+/// A piece that waits to be sent.
 #[derive(Clone, Debug)]
-pub struct Queued {
-    /// Who.
+pub struct QueuedPiece {
+    /// Name of the receiver.
     pub to: Name,
-    /// Of which transfer.
+    /// Digest of the transfer.
     pub digest: Digest,
-    /// Its number.
+    /// Number of the piece.
     pub number: u16,
 }
 
-/// A transfer of more than one piece that somebody fetches.
+/// A transfer of more than one piece that another node fetches.
 #[derive(Clone, Debug)]
-struct Serving {
+struct ActiveTransfer {
     digest: Digest,
     content: Arc<[u8]>,
-    until: Nanos, // without a further pull
+    expires_at: Nanos, // unless it is pulled again
 }
 
-/// Transfers that others fetch from here.
+/// Transfers that other nodes fetch from this one.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Bytes that may be sent.
+    /// Budget of bytes that may be sent.
     pub budget: Budget,
-    queue: VecDeque<Queued>,
-    transfers: BTreeMap<Name, Serving>,
+    queue: VecDeque<QueuedPiece>,
+    transfers: BTreeMap<Name, ActiveTransfer>,
 }
 
 impl Server {
-    /// One that serves nobody yet.
+    /// Creates a server without transfers.
     pub fn new(rate: u64, now: Nanos) -> Self {
         Server { budget: Budget::new(rate, now), queue: VecDeque::new(), transfers: BTreeMap::new() }
     }
 
-    /// Whether this node may fetch this beside `limit` large transfers at most; it then has a place as long as it goes on.
+    /// Reserves a slot for a transfer to the node `to`, with at most `limit` large transfers in total. Returns whether
+    /// there was one; the node keeps the slot while it continues to pull.
     pub fn admit(
         &mut self, now: Nanos, to: &Name, digest: Digest, content: &Arc<[u8]>, limit: usize,
     ) -> bool {
-        self.transfers.retain(|_, serving| serving.until > now);
+        self.transfers.retain(|_, transfer| transfer.expires_at > now);
         let is_large = |content: &Arc<[u8]>| content.len() > LARGE_TRANSFER_BYTES;
-        let others = || self.transfers.iter().filter(|(name, _)| *name != to).map(|(_, serving)| serving);
-        let large = others().filter(|serving| is_large(&serving.content)).count();
+        let others = || self.transfers.iter().filter(|(name, _)| *name != to).map(|(_, transfer)| transfer);
+        let large = others().filter(|transfer| is_large(&transfer.content)).count();
         if is_large(content) && large >= limit || others().count() >= MAX_TRANSFERS {
             return false;
         }
-        let serving = Serving { digest, content: content.clone(), until: now + TRANSFER_TIMEOUT };
-        self.transfers.insert(to.clone(), serving);
+        let transfer =
+            ActiveTransfer { digest, content: content.clone(), expires_at: now + TRANSFER_TIMEOUT };
+        self.transfers.insert(to.clone(), transfer);
         true
     }
 
-    /// A node that fetches has pulled again.
+    /// Extends the slot of a node that has pulled again.
     pub fn touch(&mut self, now: Nanos, to: &Name) {
-        if let Some(serving) = self.transfers.get_mut(to) {
-            serving.until = now + TRANSFER_TIMEOUT;
+        if let Some(transfer) = self.transfers.get_mut(to) {
+            transfer.expires_at = now + TRANSFER_TIMEOUT;
         }
     }
 
-    /// What a node that was admitted fetches.
+    /// Returns the content that an admitted node fetches.
     pub fn content(&self, to: &Name, digest: Digest) -> Option<Arc<[u8]>> {
-        let serving = self.transfers.get(to).filter(|serving| serving.digest == digest);
-        serving.map(|serving| serving.content.clone())
+        let transfer = self.transfers.get(to).filter(|transfer| transfer.digest == digest);
+        transfer.map(|transfer| transfer.content.clone())
     }
 
-    /// Has a piece served when its turn comes; what there is no room for is asked for again.
-    pub fn queue(&mut self, piece: Queued) {
+    /// Queues a piece to be sent; if the queue is full, drops it, and the receiver requests it again.
+    pub fn queue(&mut self, piece: QueuedPiece) {
         if self.queue.len() < MAX_QUEUED_PIECES {
             self.queue.push_back(piece);
         }
     }
 
-    /// The next piece that there is a budget for.
-    pub fn next(&mut self, now: Nanos) -> Option<Queued> {
+    /// Returns the next piece if the budget allows to send it.
+    pub fn next(&mut self, now: Nanos) -> Option<QueuedPiece> {
         if self.queue.is_empty() || !self.budget.spend(now, PIECE_BYTES) {
             return None;
         }
         self.queue.pop_front()
     }
 
-    /// When the next piece can be served.
+    /// Returns when the next piece can be sent.
     pub fn due(&self) -> Option<Nanos> {
-        (!self.queue.is_empty()).then(|| self.budget.when(PIECE_BYTES))
+        (!self.queue.is_empty()).then(|| self.budget.available_at(PIECE_BYTES))
     }
 }
--- a/crates/distribution/src/stored_state.rs
+++ b/crates/distribution/src/stored_state.rs
@@ -1,4 +1,4 @@
-//! What is kept on the disk, by files of the store.
+//! Files that hold the revision in force and staged content.
 
 use std::sync::Arc;
 
@@ -8,34 +8,34 @@
 use crate::revision::{Announcement, Digest};
 use crate::wire::Transfer;
 
-/// Version of the files' form.
+/// Version of the file format.
 pub const STORED_STATE_VERSION: u8 = 1;
-const IN_FORCE: &str = "configuration";
-const STAGED: &str = "configuration-staged";
+const IN_FORCE_FILE: &str = "configuration";
+const STAGED_FILE: &str = "configuration-staged";
 
-/// A whole document, as it was announced.
+/// A whole document with its announcement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// How.
+    /// Announcement of the document.
     pub announcement: Announcement,
-    /// It, in its canonical encoding.
+    /// The document in its canonical encoding.
     pub bytes: Arc<[u8]>,
 }
 
 /// Content of a revision that is not announced yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StagedContent {
-    /// How it is to be announced.
+    /// Announcement that will be proposed.
     pub announcement: Announcement,
-    /// Digest of the document that a chain begins at.
+    /// Digest of the document that a chain is based on; `None` if there is none.
     pub base: Option<Digest>,
-    /// What it is.
+    /// Kind, digest and length of the content.
     pub transfer: Transfer,
-    /// The chain or the document.
+    /// The encoded chain or the document.
     pub bytes: Arc<[u8]>,
 }
 
-/// What a disk holds.
+/// State loaded from the disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredState {
     /// The revision that was in force.
@@ -44,14 +44,14 @@
     pub staged: Vec<StagedContent>,
 }
 
-/// A write that is wanted.
+/// A requested disk write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileWrite {
-    /// The revision in force.
+    /// Writes the revision in force.
     InForce(Document),
-    /// All that is staged.
+    /// Writes all staged content.
     Staged(Vec<StagedContent>),
-    /// The revision on the disk is not of this log: it is renamed.
+    /// Renames the file of the revision in force, which does not belong to this log.
     SetAside,
 }
 
@@ -60,13 +60,13 @@
 }
 
 impl FileWrite {
-    /// Makes it durable. Without a fault it survives a crash; with one, what was there before is still there.
+    /// Performs the write durably. After success it survives a crash; after an error the previous content is intact.
     pub fn save(&self, disk: &dyn Disk, node: &str) -> Result<(), StoreError> {
         match self {
-            FileWrite::InForce(document) => file(IN_FORCE, node).save(disk, document),
-            FileWrite::Staged(staged) => file(STAGED, node).save(disk, staged),
+            FileWrite::InForce(document) => file(IN_FORCE_FILE, node).save(disk, document),
+            FileWrite::Staged(staged) => file(STAGED_FILE, node).save(disk, staged),
             FileWrite::SetAside => {
-                let name = file(IN_FORCE, node).name().to_owned();
+                let name = file(IN_FORCE_FILE, node).name().to_owned();
                 let renamed = disk.rename(&name, &format!("{name}.set-aside"));
                 renamed.map_err(|error| StoreError::Io { step: "setting aside", error })
             }
@@ -75,20 +75,20 @@
 }
 
 impl StoredState {
-    /// What the disk holds and can be believed; files that cannot be are named, and set aside where they are there.
+    /// Loads the files and returns the errors of those that cannot be read or trusted. The store sets such files aside.
     pub fn load(disk: &dyn Disk, node: &str) -> (Self, Vec<StoreError>) {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let in_force: Option<Document> =
-            file(IN_FORCE, node).load(disk).unwrap_or_else(|fault| note(&mut faults, fault));
+            file(IN_FORCE_FILE, node).load(disk).unwrap_or_else(|error| record_error(&mut errors, error));
         let staged: Option<Vec<StagedContent>> =
-            file(STAGED, node).load(disk).unwrap_or_else(|fault| note(&mut faults, fault));
-        // The checksum is of the file; the digest tells also what was wrong before it was written.
+            file(STAGED_FILE, node).load(disk).unwrap_or_else(|error| record_error(&mut errors, error));
+        // The checksum covers the file; the digest also detects content that was damaged before it was written.
         let in_force = in_force.filter(|document| document.announcement.matches(&document.bytes));
-        (StoredState { in_force, staged: staged.unwrap_or_default() }, faults)
+        (StoredState { in_force, staged: staged.unwrap_or_default() }, errors)
     }
 }
 
-fn note<T>(faults: &mut Vec<StoreError>, fault: StoreError) -> Option<T> {
-    faults.push(fault);
+fn record_error<T>(errors: &mut Vec<StoreError>, error: StoreError) -> Option<T> {
+    errors.push(error);
     None
 }
--- a/crates/distribution/src/wire.rs
+++ b/crates/distribution/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams of the distribution: two bytes of mark, one of version, a CRC-32C over the rest, and an [`Envelope`] in
-//! postcard's form.
+//! Datagrams of the distribution: two magic bytes, one byte of format version, a CRC-32C of the rest, and an
+//! [`Envelope`] encoded by postcard.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -8,29 +8,29 @@
 use crate::config::Name;
 use crate::revision::{Announcement, Digest, RevisionId};
 
-/// Version of the form.
+/// Version of the datagram format.
 pub const VERSION: u8 = 1;
-/// What every datagram of the distribution begins with.
+/// First bytes of every datagram of the distribution.
 pub const MAGIC: [u8; 2] = *b"mc";
-const HEADER: usize = 7;
+const HEADER_BYTES: usize = 7;
 
-/// What every datagram says.
+/// The addressing and the body of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Which fleet.
+    /// Number of the fleet.
     pub cluster: u64,
-    /// Who sends.
+    /// Name of the sender.
     pub from: Name,
-    /// For whom it is: an address may be another's by now.
+    /// Name of the receiver; its address may belong to another node by now.
     pub to: Name,
-    /// What it is about.
+    /// Body of the datagram.
     pub body: Body,
 }
 
-/// What is transferred in pieces.
+/// Kind of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransferKind {
-    /// Deltas, in order.
+    /// A chain of deltas, in order.
     Chain,
     /// A whole document.
     Snapshot,
@@ -39,142 +39,143 @@
 /// Content that can be fetched in pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// What it is.
+    /// Kind of the content.
     pub kind: TransferKind,
-    /// Its digest, which also names it.
+    /// Digest of the content, which also identifies the transfer.
     pub digest: Digest,
-    /// Its length in bytes.
+    /// Length of the content in bytes.
     pub length: u32,
 }
 
 impl Transfer {
-    /// A transfer of these bytes.
+    /// Describes a transfer of `bytes`.
     pub fn of(kind: TransferKind, bytes: &[u8]) -> Self {
         Transfer { kind, digest: Digest::of(bytes), length: bytes.len() as u32 }
     }
 
-    /// Pieces that it has; none if it is longer than any content.
+    /// Returns the number of pieces; `None` if the transfer is longer than any content may be.
     pub fn pieces(&self) -> Option<u16> {
         let length = Some(self.length as usize).filter(|length| *length <= 2 * MAX_CONTENT_BYTES)?;
         u16::try_from(length.div_ceil(PIECE_BYTES)).ok()
     }
 }
 
-/// Which revision is in force at a node, as of some time ago.
+/// The revision in force at a node, as of some time ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Hash of the node's name.
     pub node: u32,
-    /// The revision in force there; number 0: none.
+    /// The revision in force there; number 0 if there is none.
     pub id: RevisionId,
-    /// Whether the node refuses a later one.
+    /// Whether the node refuses a later revision.
     pub refused: bool,
     /// Age in steps of half a second, rounded up.
     pub age: u8,
 }
 
-/// What a datagram is about.
+/// Body of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Give me this revision.
+    /// Requests the content of a revision.
     Request {
-        /// Digest of the document held here.
+        /// Digest of the document that the sender has as a base.
         have: Option<Digest>,
-        /// Which revision.
+        /// The requested revision.
         want: RevisionId,
         /// Digest of its document, as the log announces it.
         digest: Digest,
-        /// Only as a snapshot: deltas did not lead to it.
+        /// Whether only a snapshot is acceptable, because deltas did not lead to the announced digest.
         snapshot: bool,
     },
-    /// It can be fetched here.
+    /// Offers the content of a revision, or of a later one.
     Offer {
-        /// Which revision was asked for.
+        /// The requested revision.
         want: RevisionId,
-        /// Which revision the transfer makes: a later one where the sender is ahead and has no deltas to what was asked
-        /// for. It is then a base, to be verified by what deltas make of it.
+        /// The revision that the transfer produces. It is a later one if the sender is ahead and has no deltas to the
+        /// requested one; it then serves as a base, and is verified through the result of the deltas applied to it.
         makes: RevisionId,
-        /// As what.
+        /// Kind, digest and length of the transfer.
         transfer: Transfer,
         /// The first piece.
         first: Vec<u8>,
     },
-    /// It is not here.
+    /// The sender does not have the content.
     Missing {
-        /// Which revision was asked for.
+        /// The requested revision.
         want: RevisionId,
     },
-    /// It is here, but too many fetch.
+    /// The sender has the content but serves too many nodes.
     Busy {
-        /// Which revision was asked for.
+        /// The requested revision.
         want: RevisionId,
     },
-    /// These pieces, please.
+    /// Requests pieces of an offered transfer.
     Pull {
-        /// Of which transfer.
+        /// Digest of the transfer.
         digest: Digest,
-        /// Their numbers.
+        /// Numbers of the pieces.
         pieces: Vec<u16>,
     },
-    /// A piece.
+    /// One piece of a transfer.
     Piece {
-        /// Of which transfer.
+        /// Digest of the transfer.
         digest: Digest,
-        /// Its number.
+        /// Number of the piece.
         number: u16,
-        /// It.
+        /// Bytes of the piece.
         bytes: Vec<u8>,
     },
-    /// Keep this content: it is to be announced.
+    /// Asks a voter to fetch and store content that is to be announced.
     Stage {
-        /// How.
+        /// Announcement that will be proposed.
         announcement: Announcement,
-        /// Digest of the document that a chain begins at.
+        /// Digest of the document that a chain is based on.
         base: Option<Digest>,
-        /// What can be fetched from the sender.
+        /// The transfer that can be fetched from the sender.
         transfer: Transfer,
     },
-    /// It is kept.
+    /// Confirms that a voter has stored the content.
     Staged {
-        /// What.
+        /// Announcement of the stored content.
         announcement: Announcement,
     },
-    /// Which revision is in force where.
+    /// Reports of the revisions in force at nodes.
     Reports {
-        /// Some reports, the sender's own first.
+        /// Reports, with the sender's own first.
         reports: Vec<Report>,
-        /// Whether as many are wanted back.
+        /// Whether the receiver is asked to send reports back.
         answer: bool,
     },
 }
 
-/// Why a datagram has no effect. Each is counted; none needs anybody unless it keeps rising.
+/// Why a datagram was rejected. Each reason is counted; a count needs attention only if it keeps rising.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum DatagramError {
-    /// Cut short, or not of this form at all.
-    #[error("cut short or of another form: see what else sends to this port")]
+    /// The datagram is truncated or not in this format.
+    #[error("datagram is truncated or malformed; check what else sends to this port")]
     Malformed,
-    /// Longer than any.
-    #[error("longer than any that this program sends: see what else sends to this port")]
+    /// The datagram is longer than [`MAX_DATAGRAM`].
+    #[error("datagram exceeds {MAX_DATAGRAM} bytes; check what else sends to this port")]
     TooLong,
-    /// Damaged.
-    #[error("its checksum does not fit: see the network")]
+    /// The checksum does not match.
+    #[error("datagram checksum does not match; check the network")]
     Checksum,
-    /// Of another version.
-    #[error("of another version of the form: finish the upgrade")]
+    /// The datagram has another format version.
+    #[error("datagram has another format version; finish the upgrade")]
     UnsupportedVersion,
-    /// Of another fleet.
-    #[error("of another fleet: see `cluster` at both ends")]
+    /// The datagram comes from another fleet.
+    #[error("datagram is from another fleet; check `cluster` at both ends")]
     WrongCluster,
-    /// For somebody else.
-    #[error("for another node: the address was another's")]
+    /// The datagram is addressed to another node.
+    #[error("datagram is addressed to another node; the address belonged to that node before")]
     WrongRecipient,
 }
 
-/// A datagram; none where it would be too long, which bounds on all that goes into one rule out.
+/// Encodes a datagram; `None` if it would exceed [`MAX_DATAGRAM`], which the bounds on all parts of a message rule
+/// out.
 pub fn encode(envelope: &Envelope) -> Option<Vec<u8>> {
     let body = postcard::to_stdvec(envelope).ok()?;
-    let mut bytes = Vec::with_capacity(HEADER + body.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend(MAGIC);
     bytes.push(VERSION);
     bytes.extend(crc32c::crc32c(&body).to_le_bytes());
@@ -182,12 +183,12 @@
     Some(bytes).filter(|bytes| bytes.len() <= MAX_DATAGRAM)
 }
 
-/// What a datagram says.
+/// Decodes a datagram.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, DatagramError> {
     if bytes.len() > MAX_DATAGRAM {
         return Err(DatagramError::TooLong);
     }
-    let (head, body) = bytes.split_at_checked(HEADER).ok_or(DatagramError::Malformed)?;
+    let (head, body) = bytes.split_at_checked(HEADER_BYTES).ok_or(DatagramError::Malformed)?;
     if head[..2] != MAGIC {
         return Err(DatagramError::Malformed);
     }
