--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -65,7 +65,8 @@
         found.map(|(announcement, document)| (announcement, document))
     }
 
-    /// Returns the deltas from one document to another, in order, if all are stored and their total size is within `limit`.
+    /// Returns the deltas from one document to another, in order, if all are stored and their total size is within
+    /// `limit`.
     pub fn chain(&self, from: Digest, to: Digest, limit: usize) -> Option<Vec<ChainLink>> {
         let mut chain = Vec::new();
         let mut bytes = 0;
--- a/crates/distribution/src/machine/applying.rs
+++ b/crates/distribution/src/machine/applying.rs
@@ -1,4 +1,4 @@
-//! From fetched content to a revision in force: compose, verify, apply.
+//! Turns fetched content into a revision in force: composes, verifies and applies it.
 
 use std::sync::Arc;
 
@@ -12,43 +12,43 @@
 use crate::stored_state::{Document, StagedContent};
 use crate::wire::TransferKind;
 
-/// A document that deltas may lead on from. Nobody has to vouch for it: what is applied is the result, whose digest the
-/// log announces.
+/// A fetched document that deltas are applied to. It needs no verification itself, because only the result is applied
+/// and the log announces the digest of the result.
 #[derive(Debug)]
 pub struct UnverifiedBase {
-    /// Which revision it is said to be.
+    /// The revision that the sender claimed.
     pub id: RevisionId,
-    /// Its digest.
+    /// Digest of the document.
     pub digest: Digest,
-    /// It.
+    /// The document.
     pub bytes: Arc<[u8]>,
 }
 
-/// What the machine is busy with on the way to the next revision.
+/// The step in progress towards the next revision.
 #[derive(Debug)]
 pub enum Work {
-    /// Nothing.
+    /// No step is in progress.
     Idle,
-    /// Its content is being fetched.
+    /// The content is being fetched.
     Fetching(Box<Fetch>),
-    /// Deltas are being applied to a copy.
+    /// The host is applying deltas to a copy of the document.
     Composing {
-        /// What they have to result in.
+        /// The announcement that the result has to match.
         target: Announcement,
-        /// Them.
+        /// The deltas.
         chain: Vec<ChainLink>,
     },
-    /// The host is putting it in force.
+    /// The host is putting the document in force.
     Applying(Document),
 }
 
 impl Work {
-    /// Whether there is nothing under way.
+    /// Returns whether no step is in progress.
     pub fn is_idle(&self) -> bool {
         matches!(self, Work::Idle)
     }
 
-    /// The fetch under way, if that is what it is; nothing is under way then.
+    /// Takes the fetch in progress and leaves [`Work::Idle`]; leaves any other step unchanged.
     pub fn take_fetch(&mut self) -> Option<Box<Fetch>> {
         match std::mem::replace(self, Work::Idle) {
             Work::Fetching(fetch) => Some(fetch),
@@ -59,19 +59,21 @@
         }
     }
 
-    /// In a line.
+    /// Returns a one-line description for debugging.
     pub fn describe(&self) -> String {
         match self {
             Work::Idle => "idle".to_owned(),
-            Work::Fetching(fetch) => format!("fetches {} at attempt {}", fetch.target.id, fetch.attempt),
-            Work::Composing { target, chain } => format!("composes {} of {}", target.id, chain.len()),
-            Work::Applying(document) => format!("applies {}", document.announcement.id),
+            Work::Fetching(fetch) => format!("fetching {}, attempt {}", fetch.target.id, fetch.attempt),
+            Work::Composing { target, chain } => {
+                format!("composing {} from {} deltas", target.id, chain.len())
+            }
+            Work::Applying(document) => format!("applying {}", document.announcement.id),
         }
     }
 }
 
 impl Distribution {
-    /// What the disk held comes into force before anything is heard.
+    /// Puts the document from the disk in force before any message is received.
     pub(super) fn restore(&mut self, document: Document, actions: &mut Vec<Action>) {
         if document.announcement.format > self.tuning.max_format {
             return self.refuse(
@@ -84,7 +86,7 @@
         self.apply(document, actions);
     }
 
-    /// Begins with the next revision where nothing is under way, and goes on with what is.
+    /// Starts work on the next revision if none is in progress, and continues a fetch in progress.
     pub(super) fn advance_work(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         self.stop_for_staged();
         if self.work.is_idle() {
@@ -99,7 +101,7 @@
 
     fn unknown_format(&self, format: u16) -> String {
         format!(
-            "its format is {format}; this version knows up to {}: upgrade this node",
+            "document format {format} is not supported; this version supports formats up to {}; upgrade this node",
             self.tuning.max_format
         )
     }
@@ -108,7 +110,7 @@
         if target.format > self.tuning.max_format {
             return self.refuse(target, self.unknown_format(target.format), actions);
         }
-        // Going back and forth gives the same document again.
+        // After a change and its reversal the document is the same again, so nothing has to be fetched.
         if let Some(verified) =
             self.verified.as_ref().filter(|verified| verified.announcement.digest == target.digest)
         {
@@ -123,17 +125,17 @@
         self.work = Work::Fetching(Box::new(Fetch::new(target, now.max(self.fetch_after))));
     }
 
-    /// Content that was staged here and leads to this revision.
+    /// Returns staged content that produces this revision and can be applied here.
     fn staged_target(&self, target: &Announcement) -> Option<&StagedContent> {
         let base = self.base_digest();
-        let leads = |staged: &&StagedContent| {
+        let matches = |staged: &&StagedContent| {
             let applicable = staged.transfer.kind == TransferKind::Snapshot || staged.base == base;
             staged.announcement == *target && applicable
         };
-        self.staged.iter().map(|(_, staged)| staged).find(leads)
+        self.staged.iter().map(|(_, staged)| staged).find(matches)
     }
 
-    /// Fetches no longer what is not coming, where a later revision is staged here.
+    /// Stops a fetch that receives no pieces if content of the latest revision is staged here.
     fn stop_for_staged(&mut self) {
         let Work::Fetching(fetch) = &self.work else { return };
         let staged = self.target().is_some_and(|target| self.staged_target(&target).is_some());
@@ -142,7 +144,7 @@
         }
     }
 
-    /// All of a transfer has come, and has the digest that it was offered with.
+    /// Processes the content of a complete transfer whose digest matches the offer.
     pub(super) fn transfer_complete(
         &mut self, now: Nanos, target: Announcement, kind: TransferKind, bytes: &[u8],
         actions: &mut Vec<Action>,
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Compares a document with what is announced, and has it applied if it is that.
+    /// Compares a document with its announcement, and has it applied if it matches.
     fn verify(
         &mut self, now: Nanos, target: Announcement, bytes: Arc<[u8]>, chain: Vec<ChainLink>,
         actions: &mut Vec<Action>,
@@ -194,7 +196,8 @@
         self.apply(document, actions);
     }
 
-    /// Deltas, or what was staged, did not lead to the announced digest.
+    /// Drops content that did not lead to the announced digest, whether fetched or staged, and fetches the whole
+    /// document instead.
     fn reject_chain(&mut self, now: Nanos, target: Announcement, actions: &mut Vec<Action>) {
         actions.push(Action::Notify(Notification::ChainMismatch(target.id)));
         self.staged.retain(|(_, staged)| staged.announcement != target);
@@ -208,7 +211,7 @@
         self.base = None;
     }
 
-    /// The digest of what deltas can be applied to here.
+    /// Returns the digest of the document that deltas can be applied to here.
     pub(super) fn base_digest(&self) -> Option<Digest> {
         self.base.as_ref().map(|base| base.digest).or_else(|| self.verified_digest())
     }
@@ -228,7 +231,7 @@
             Ok(()) => {
                 self.in_force = Some(document);
                 (self.refused, self.in_force_set_aside) = (None, false);
-                // Others look for it.
+                // The report goes out early because other nodes look for sources of this revision.
                 self.report_at = self.report_at.min(now + self.rng.u64(0..MAX_IN_FORCE_REPORT_DELAY));
                 actions.push(Action::Notify(Notification::InForce(announcement)));
             }
--- a/crates/distribution/src/machine/fetching.rs
+++ b/crates/distribution/src/machine/fetching.rs
@@ -1,4 +1,4 @@
-//! From whom content is fetched, and at which pace.
+//! Fetching of content: choice of the source, retries and pace.
 
 use super::applying::{UnverifiedBase, Work};
 use super::{Action, Distribution, Notification};
@@ -11,18 +11,18 @@
 use crate::revision::{Announcement, Digest, RevisionId};
 use crate::wire::{Body, Transfer, TransferKind};
 
-/// The content of one revision on its way here.
+/// The fetch of one revision's content.
 #[derive(Debug)]
 pub struct Fetch {
-    /// Which revision.
+    /// The revision to fetch.
     pub target: Announcement,
-    /// Attempts that were begun.
+    /// Number of attempts started.
     pub attempt: u32,
-    snapshot: bool, // only as such
-    since: Nanos,   // when this revision was first asked for
+    snapshot: bool, // whether only a snapshot is acceptable
+    since: Nanos,   // when this revision was first requested
     phase: Phase,
-    makes: RevisionId,         // what the transfer under way leads to
-    partial: Option<Download>, // what has come of a transfer that was given up: another node may have the same
+    makes: RevisionId,         // the revision that the transfer in progress produces
+    partial: Option<Download>, // pieces of an abandoned transfer, which another node may continue
 }
 
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 }
 
 impl Fetch {
-    /// One that begins then.
+    /// Creates a fetch that starts at `at`.
     pub fn new(target: Announcement, at: Nanos) -> Self {
         Fetch {
             target,
@@ -46,18 +46,18 @@
         }
     }
 
-    /// Whether pieces are coming.
+    /// Returns whether a transfer is in progress.
     pub fn is_downloading(&self) -> bool {
         matches!(self.phase, Phase::Downloading(_))
     }
 
-    /// One of the whole document only.
+    /// Creates a fetch that accepts only the whole document.
     pub fn snapshot_only(target: Announcement, at: Nanos) -> Self {
         Fetch { snapshot: true, ..Fetch::new(target, at) }
     }
 }
 
-/// Where the next attempt goes: near nodes before far ones, and both before voters.
+/// Kind of node that the next attempt asks. Nodes in the same zone are preferred to other nodes, and both to voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     SameZone,
@@ -65,7 +65,7 @@
     Voter,
 }
 
-/// The order of attempts, over and over.
+/// The order of attempts, repeated.
 const SOURCE_ORDER: [Source; 5] =
     [Source::SameZone, Source::SameZone, Source::OtherZone, Source::SameZone, Source::Voter];
 
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Goes on with the fetch under way.
+    /// Continues the fetch in progress.
     pub(super) fn advance_fetch(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let Some(mut fetch) = self.work.take_fetch() else { return };
         match &mut fetch.phase {
@@ -99,7 +99,7 @@
         download.is_complete() || half
     }
 
-    /// The next attempt, later after each failure.
+    /// Schedules the next attempt, with a delay that grows with the number of attempts.
     fn retry(&mut self, now: Nanos, fetch: &mut Fetch, busy: bool) {
         let max_doublings =
             if fetch.attempt < FULL_BACKOFF_ATTEMPTS { MAX_EARLY_DOUBLINGS } else { u32::BITS };
@@ -122,7 +122,7 @@
         }
         if self.base.as_ref().is_some_and(|base| base.id > fetch.target.id) {
             fetch.attempt += 1;
-            return self.retry(now, fetch, false); // the log here will come to it
+            return self.retry(now, fetch, false); // the local copy of the log will catch up with the base
         }
         let source = SOURCE_ORDER[fetch.attempt as usize % SOURCE_ORDER.len()];
         fetch.attempt += 1;
@@ -140,7 +140,8 @@
         fetch.phase = Phase::Requested { from, until: now + ANSWER_TIMEOUT };
     }
 
-    /// A node to ask, one that is known to have it if there is any; any live one where there is none of that kind.
+    /// Chooses a live node of the given kind, or of any kind if there is none, and prefers nodes known to have the
+    /// revision.
     fn choose_source(&mut self, now: Nanos, source: Source, want: RevisionId) -> Option<Name> {
         let zone = self.identity.zone.clone();
         let matches = |peer: &&Peer| match source {
@@ -154,7 +155,7 @@
         let reports_revision =
             |peer: &&Peer| self.reported_revision(now, &peer.name).is_some_and(|id| id >= want);
         let reporting: Vec<&Peer> = matching.iter().copied().filter(reports_revision).collect();
-        // Not always: what is known may be old, and the few that are known to have it may be busy.
+        // Sometimes others are asked too: reports may be outdated, and the few nodes known to have it may be busy.
         let any = reporting.is_empty() || self.rng.u8(0..4) == 0;
         let chosen = if any { matching } else { reporting };
         (!chosen.is_empty()).then(|| chosen[self.rng.usize(0..chosen.len())].name.clone())
@@ -229,7 +230,7 @@
     }
 }
 
-/// Pulls what there is room for, at the pace of a node that catches up.
+/// Pulls as many pieces as the window and the rate limit of a node that catches up allow.
 fn pull_pieces(node: &mut Distribution, now: Nanos, download: &mut Download, actions: &mut Vec<Action>) {
     loop {
         let budget = match &mut node.catching_up {
--- a/crates/distribution/src/machine/following.rs
+++ b/crates/distribution/src/machine/following.rs
@@ -1,4 +1,4 @@
-//! What the agreed log announces.
+//! Reaction to announcements in the replicated log.
 
 use super::{Action, Distribution, LogState, Notification, Work};
 use crate::bounds::{MAX_ANNOUNCEMENTS, SET_ASIDE_DELAY};
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The revision that is to be in force next, if there is one.
+    /// Returns the revision to put in force next, if there is one.
     pub(super) fn target(&self) -> Option<Announcement> {
         let latest = self.log.announcement?;
         if self.tuning.defect == Some(Defect::AppliesLower) {
@@ -49,8 +49,8 @@
         self.log.fresh && self.verified_id() > announced
     }
 
-    /// Whether the log of this epoch, or of an earlier one, does not have what is held: no log that was founded anew has
-    /// lost it, so it is not from here.
+    /// Returns whether a log of the same or an earlier epoch lacks the verified revision. Only a log that was created
+    /// anew may have lost it, and such a log has a higher epoch; so the revision is from another log.
     fn is_contradicted(&self) -> bool {
         let Some(verified) = self.verified.as_ref().map(|verified| verified.announcement) else {
             return false;
@@ -61,7 +61,7 @@
         other_content || self.is_log_behind() && verified.id.epoch >= self.log.epoch
     }
 
-    /// Sets aside what was held for long enough against a fresh log.
+    /// Sets aside a revision that a fresh log has contradicted for [`SET_ASIDE_DELAY`].
     pub(super) fn set_aside_contradicted(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if self.contradicted_since.is_none_or(|since| now < since + SET_ASIDE_DELAY) {
             return;
@@ -74,7 +74,7 @@
         let announced =
             self.log.announcement.map_or_else(RevisionId::default, |announcement| announcement.id);
         let reason = format!(
-            "the log of epoch {} announces {announced} and nothing later: this revision is not from it",
+            "the log of epoch {} announces {announced} as the latest; this revision is not from that log",
             self.log.epoch
         );
         let id = verified.announcement.id;
--- a/crates/distribution/src/machine/mod.rs
+++ b/crates/distribution/src/machine/mod.rs
@@ -274,8 +274,8 @@
         self.in_force.as_ref()
     }
 
-    /// Returns the latest verified document, on which the next revision is based. It differs from the document in force if
-    /// the host refused it.
+    /// Returns the latest verified document, on which the next revision is based. It differs from the document in
+    /// force if the host refused it.
     pub fn verified_document(&self) -> Option<&Document> {
         self.verified.as_ref()
     }
@@ -284,7 +284,7 @@
     pub fn debug_summary(&self) -> String {
         let id = |document: &Option<Document>| document.as_ref().map(|document| document.announcement.id);
         format!(
-            "log {:?}, held {:?}, in force {:?}, refused {:?}, {}, {} staged, history {:?}",
+            "log {:?}, verified {:?}, in force {:?}, refused {:?}, {}, {} staged, history {:?}",
             self.log.announcement.map(|announcement| announcement.id),
             id(&self.verified),
             id(&self.in_force),
--- a/crates/distribution/src/machine/publishing.rs
+++ b/crates/distribution/src/machine/publishing.rs
@@ -66,7 +66,7 @@
     #[error("too many publications are in progress; retry later")]
     Busy,
     /// A majority of the voters did not store the content; nothing was proposed.
-    #[error("{staged} of {voters} voters stored the content in time, a majority is needed; check whether most voters are up")]
+    #[error("{staged} of {voters} voters stored the content in time, a majority is needed; check that most are up")]
     NotStaged {
         /// Number of voters that stored it.
         staged: usize,
@@ -145,15 +145,15 @@
             return Err(PublishError::Busy);
         }
         let announced = self.log.announcement.map(|announcement| announcement.id);
-        let held = self.verified_id();
+        let verified = self.verified_id();
         let log_known = self.log.epoch > 0;
-        if !log_known || announced > held && !over_missing {
+        if !log_known || announced > verified && !over_missing {
             return Err(PublishError::Behind);
         }
-        if base != held {
-            return Err(PublishError::Superseded(held.unwrap_or_default()));
+        if base != verified {
+            return Err(PublishError::Superseded(verified.unwrap_or_default()));
         }
-        let latest = held.max(announced).unwrap_or_default();
+        let latest = verified.max(announced).unwrap_or_default();
         let (epoch, number) = (self.log.epoch.max(latest.epoch), latest.number + 1);
         let announcement = Announcement {
             id: RevisionId { epoch, number },
@@ -205,13 +205,15 @@
         let voters: Vec<Name> =
             self.peers.iter().filter(|peer| peer.votes).map(|peer| peer.name.clone()).collect();
         let count = voters.len() + usize::from(self.is_voter);
-        let own = usize::from(self.is_voter && !self.saving.is_staged_pending());
+        let own_copy = usize::from(self.is_voter && !self.saving.is_staged_pending());
         let tickets: Vec<Ticket> = self.publications.keys().copied().collect();
         for ticket in tickets {
-            let Some(publication) = self.publications.get_mut(&ticket).filter(|known| !known.proposed) else {
+            let Some(publication) = self.publications.get_mut(&ticket).filter(|pending| !pending.proposed)
+            else {
                 continue;
             };
-            let stored = own + voters.iter().filter(|voter| publication.staged_by.contains(*voter)).count();
+            let stored =
+                own_copy + voters.iter().filter(|voter| publication.staged_by.contains(*voter)).count();
             let StagedContent { announcement, base, transfer, .. } = publication.content;
             if publication.epoch != self.log.epoch {
                 // In the new epoch another revision may get the same number.
@@ -227,9 +229,9 @@
                 actions.push(Action::Published(ticket, Err(error)));
             } else if now >= publication.next_offer_at {
                 publication.next_offer_at = now + OFFER_INTERVAL;
-                let missing: Vec<&Name> =
+                let without_copy: Vec<&Name> =
                     voters.iter().filter(|voter| !publication.staged_by.contains(*voter)).collect();
-                for voter in missing {
+                for voter in without_copy {
                     self.send(voter, Body::Stage { announcement, base, transfer }, actions);
                 }
             }
--- a/crates/distribution/src/machine/reporting.rs
+++ b/crates/distribution/src/machine/reporting.rs
@@ -1,4 +1,4 @@
-//! Which revision is in force where: told on, and counted.
+//! Exchange of reports of the revision in force, and their statistics.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 use crate::bounds::REPORT_INTERVAL;
 use crate::config::{Defect, Name, Nanos, Peer};
 use crate::overview::{Overview, MAX_NAMES};
-use crate::reports::{self, report, NodeReport};
+use crate::reports::{self, build_report, NodeReport};
 use crate::revision::RevisionId;
 use crate::wire::{Body, Report};
 
 impl Distribution {
-    /// This node's own report: what is set aside is in force, but counts for nothing.
+    /// Returns this node's own report. A revision that is set aside stays in force but is reported as none.
     fn own_report(&self, now: Nanos) -> NodeReport {
         let in_force = self.in_force.as_ref().filter(|_| !self.in_force_set_aside);
         let id = in_force.map_or_else(RevisionId::default, |document| document.announcement.id);
@@ -19,13 +19,13 @@
     }
 
     fn sample_reports(&mut self, now: Nanos) -> Vec<Report> {
-        let mut reports = vec![report(now, self.own_hash(), self.own_report(now))];
+        let mut reports = vec![build_report(now, self.own_hash(), self.own_report(now))];
         let from = self.rng.u32(..);
         reports.extend(self.reports.sample(now, from));
         reports
     }
 
-    /// Tells one other node now and then.
+    /// Sends reports to one random live node at intervals.
     pub(super) fn report(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if now < self.report_at {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The fleet as it is known here.
+    /// Returns the statistics of the fleet as this node knows it.
     pub fn overview(&self, now: Nanos) -> Overview {
         let latest = self.log.announcement.map(|announcement| announcement.id);
         let mut overview = Overview {
@@ -70,15 +70,15 @@
         live().for_each(|peer| *names.entry(reports::hash(&peer.name)).or_default() += 1);
         for peer in live() {
             let hash = reports::hash(&peer.name);
-            // Where two names have one hash, nobody can say whose report it is.
-            let known = self.reports.get(now, hash).filter(|_| names.get(&hash) == Some(&1));
-            let known = match (known, self.tuning.defect) {
+            // If two names have the same hash, the report cannot be attributed to either.
+            let report = self.reports.get(now, hash).filter(|_| names.get(&hash) == Some(&1));
+            let report = match (report, self.tuning.defect) {
                 (None, Some(Defect::CountsSilentAsApplied)) => {
                     latest.map(|id| NodeReport { id, refused: false, as_of: now })
                 }
-                _ => known,
+                _ => report,
             };
-            count(&mut overview, now, &peer.name, known);
+            count(&mut overview, now, &peer.name, report);
         }
         while overview.revisions.len() > MAX_NAMES {
             overview.revisions.pop_last();
@@ -86,26 +86,26 @@
         overview
     }
 
-    /// Which revision is known to be in force at a node; none where nothing was heard of it for too long.
+    /// Returns the last reported revision of a node, or `None` without a report within [`crate::bounds::REPORT_TTL`].
     pub fn reported_revision(&self, now: Nanos, name: &str) -> Option<RevisionId> {
-        self.reports.get(now, reports::hash(name)).map(|known| known.id)
+        self.reports.get(now, reports::hash(name)).map(|report| report.id)
     }
 }
 
-fn count(overview: &mut Overview, now: Nanos, name: &Name, known: Option<NodeReport>) {
+fn count(overview: &mut Overview, now: Nanos, name: &Name, report: Option<NodeReport>) {
     overview.live += 1;
-    let Some(known) = known else { return overview.unknown.add(name) };
-    overview.oldest_report = overview.oldest_report.max(now.saturating_sub(known.as_of));
-    *overview.revisions.entry(known.id).or_default() += 1;
-    if known.refused {
+    let Some(report) = report else { return overview.unknown.add(name) };
+    overview.oldest_report = overview.oldest_report.max(now.saturating_sub(report.as_of));
+    *overview.revisions.entry(report.id).or_default() += 1;
+    if report.refused {
         overview.refused.add(name);
     }
-    match Some(known.id).filter(|id| id.number > 0).cmp(&overview.latest) {
+    match Some(report.id).filter(|id| id.number > 0).cmp(&overview.latest) {
         std::cmp::Ordering::Less => overview.behind.add(name),
         std::cmp::Ordering::Equal => overview.applied += 1,
         std::cmp::Ordering::Greater => overview.ahead += 1,
     }
-    if overview.lowest.as_ref().is_none_or(|(lowest, _)| known.id < *lowest) {
-        overview.lowest = Some((known.id, name.clone()));
+    if overview.lowest.as_ref().is_none_or(|(lowest, _)| report.id < *lowest) {
+        overview.lowest = Some((report.id, name.clone()));
     }
 }
--- a/crates/distribution/src/machine/saving.rs
+++ b/crates/distribution/src/machine/saving.rs
@@ -1,4 +1,4 @@
-//! What goes to the disk, one write at a time; serving depends on none.
+//! Disk writes, one at a time. Serving does not depend on any of them.
 
 use super::{Action, Distribution, Notification};
 use crate::bounds::{SAVE_INTERVAL, SAVE_RETRY_DELAY};
@@ -6,40 +6,40 @@
 use crate::revision::RevisionId;
 use crate::stored_state::FileWrite;
 
-/// What is on the disk, and on its way there.
+/// Disk writes that are pending or in progress.
 #[derive(Debug, Default)]
 pub struct SaveState {
     saved_id: Option<RevisionId>,
     in_progress: Option<FileWrite>,
-    staged: Option<FileWrite>, // wanted
+    staged: Option<FileWrite>, // pending write of staged content
     set_aside: Option<FileWrite>,
     next_write_at: Nanos,
     failing: bool,
 }
 
 impl SaveState {
-    /// The disk held this revision at the start.
+    /// Records that the disk held this revision at the start.
     pub fn restored(&mut self, id: RevisionId) {
         self.saved_id = Some(id);
     }
 
-    /// Wants all that is staged written, at once.
+    /// Requests an immediate write of all staged content.
     pub fn request_staged(&mut self, write: FileWrite) {
         self.staged = Some(write);
     }
 
-    /// Wants this done before the next revision is written.
+    /// Requests that the file of the revision in force is set aside before the next revision is written.
     pub fn request_set_aside(&mut self, write: FileWrite) {
         self.set_aside = Some(write);
         self.saved_id = None;
     }
 
-    /// Whether what is staged is not durable yet.
+    /// Returns whether the staged content is not durable yet.
     pub fn is_staged_pending(&self) -> bool {
         self.staged.is_some() || matches!(self.in_progress, Some(FileWrite::Staged(_)))
     }
 
-    /// Whether the disk has failed the last write.
+    /// Returns whether the last write failed.
     pub fn is_failing(&self) -> bool {
         self.failing
     }
@@ -59,12 +59,13 @@
             .then_some(self.saving.next_write_at)
     }
 
-    /// Begins the next write if one is wanted and none is under way.
+    /// Starts the next pending write if none is in progress.
     pub(super) fn save(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if !self.tuning.disk || self.saving.in_progress.is_some() {
             return;
         }
-        // Somebody waits for what is staged; after a failure all is tried again at one pace.
+        // A publisher waits for staged content, so it is written at once; after a failure all writes share one retry
+        // delay.
         let write =
             match self.saving.staged.take_if(|_| !self.saving.failing || now >= self.saving.next_write_at) {
                 Some(staged) => staged,
--- a/crates/distribution/src/machine/serving.rs
+++ b/crates/distribution/src/machine/serving.rs
@@ -1,4 +1,4 @@
-//! What others fetch from here.
+//! Serving of content to other nodes.
 
 use std::sync::Arc;
 
@@ -12,18 +12,18 @@
 use crate::server::QueuedPiece;
 use crate::wire::{Body, Transfer, TransferKind};
 
-/// What somebody asks for.
+/// A revision requested by another node.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestedRevision {
-    /// Which revision.
+    /// The revision.
     pub id: RevisionId,
     /// Digest of its document.
     pub digest: Digest,
-    /// Only as a snapshot.
+    /// Whether only a snapshot is acceptable.
     pub snapshot: bool,
 }
 
-/// What can be offered.
+/// Content that can be offered.
 struct ServedContent {
     makes: RevisionId,
     transfer: Transfer,
@@ -31,7 +31,7 @@
 }
 
 impl Distribution {
-    /// Somebody wants a revision.
+    /// Answers a request for a revision.
     pub(super) fn request_received(
         &mut self, now: Nanos, from: &Name, have: Option<Digest>, requested: RequestedRevision,
         actions: &mut Vec<Action>,
@@ -41,8 +41,8 @@
             return self.send(from, Body::Missing { want }, actions);
         };
         let limit = if self.is_voter { MAX_VOTER_LARGE_TRANSFERS } else { MAX_LARGE_TRANSFERS };
-        let several = bytes.len() > PIECE_BYTES;
-        let admitted = !several || self.server.admit(now, from, transfer.digest, &bytes, limit);
+        let needs_slot = bytes.len() > PIECE_BYTES;
+        let admitted = !needs_slot || self.server.admit(now, from, transfer.digest, &bytes, limit);
         if !admitted || !self.server.budget.spend(now, MAX_DATAGRAM) {
             return self.send(from, Body::Busy { want }, actions);
         }
@@ -50,7 +50,8 @@
         self.send(from, Body::Offer { want, makes, transfer, first }, actions);
     }
 
-    /// What leads to a revision: deltas where they are here, and the document where they are not or are longer.
+    /// Returns content that produces the revision: deltas if they are stored and not longer than the document, else the
+    /// document.
     fn find_content(&self, have: Option<Digest>, requested: RequestedRevision) -> Option<ServedContent> {
         if let Some(staged) = self.find_staged(have, requested) {
             return Some(staged);
@@ -78,7 +79,8 @@
         Some(ServedContent { makes: announcement.id, transfer, bytes })
     }
 
-    /// What is held here, where it is later than what is wanted, or the other holds nothing.
+    /// Returns the verified document if it is later than the requested revision or the other node has none, and the log
+    /// announces it or a later one.
     fn find_later(
         &self, have: Option<Digest>, requested: RequestedRevision,
     ) -> Option<(Announcement, Arc<[u8]>)> {
@@ -89,7 +91,7 @@
         usable.then(|| (verified.announcement, verified.bytes.clone()))
     }
 
-    /// Content that is staged here and leads to it, also where this node itself cannot use it yet.
+    /// Returns staged content that produces the revision, even if this node itself cannot apply it yet.
     fn find_staged(&self, have: Option<Digest>, requested: RequestedRevision) -> Option<ServedContent> {
         let staged = self.staged.iter().map(|(_, staged)| staged).find(|staged| {
             let whole = staged.transfer.kind == TransferKind::Snapshot;
@@ -100,7 +102,7 @@
         Some(ServedContent { makes: requested.id, transfer: staged.transfer, bytes: staged.bytes.clone() })
     }
 
-    /// Somebody wants pieces of a transfer that was offered.
+    /// Queues pieces of an offered transfer.
     pub(super) fn pull_received(&mut self, now: Nanos, from: &Name, digest: Digest, pieces: &[u16]) {
         self.server.touch(now, from);
         for number in pieces.iter().take(MAX_PIECES_PULLED) {
@@ -108,9 +110,9 @@
         }
     }
 
-    /// Sends the pieces whose turn it is.
+    /// Sends queued pieces within the rate limit.
     pub(super) fn serve(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        // What is published here has to reach the voters, also where this node is one of them.
+        // A publisher has to deliver its content to the voters, so the limit for voters does not apply to it.
         let limited = self.is_voter && self.publications.is_empty();
         self.server.budget.set_rate(if limited { VOTER_SERVE_RATE } else { SERVE_RATE });
         while let Some(QueuedPiece { to, digest, number }) = self.server.next(now) {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// What was offered to a node: of a publication to all voters, else to those that were admitted.
+    /// Returns the content offered to a node: a publication's content to any voter, other content to admitted nodes.
     fn offered_content(&self, to: &Name, digest: Digest) -> Option<Arc<[u8]>> {
         let published =
             self.publications.values().find(|publication| publication.transfer().digest == digest);
--- a/crates/distribution/src/machine/staging.rs
+++ b/crates/distribution/src/machine/staging.rs
@@ -1,4 +1,4 @@
-//! Content that a voter keeps before it is announced, so that it outlives whoever publishes it.
+//! Staging: voters store content before it is announced, so that it survives the loss of its publisher.
 
 use super::{Action, Distribution};
 use crate::bounds::{MAX_CONTENT_BYTES, MAX_PIECES_PULLED, MAX_STAGED, STAGED_TTL};
@@ -8,30 +8,30 @@
 use crate::stored_state::{FileWrite, StagedContent};
 use crate::wire::{Body, Transfer};
 
-/// Content on its way from its publisher.
+/// A download of content from its publisher.
 #[derive(Debug)]
 pub struct Staging {
-    /// Its pieces.
+    /// The download.
     pub download: Download,
     announcement: Announcement,
     base: Option<Digest>,
 }
 
 impl Staging {
-    /// When it next wants a look.
+    /// Returns when the download next needs a check.
     pub fn due(&self) -> Nanos {
         self.download.due()
     }
 }
 
 impl Distribution {
-    /// A publisher asks this voter to keep some content.
+    /// Handles a publisher's request to store content.
     pub(super) fn stage_requested(
         &mut self, now: Nanos, from: Name, announcement: Announcement, base: Option<Digest>,
         transfer: Transfer, actions: &mut Vec<Action>,
     ) {
         if self.is_staged(&announcement) {
-            // It is told only when it is durable, where there is a disk.
+            // With a disk, the content is confirmed only once it is durable.
             if !self.saving.is_staged_pending() {
                 self.send(&from, Body::Staged { announcement }, actions);
             }
@@ -49,7 +49,7 @@
         self.staged.iter().any(|(_, staged)| staged.announcement == *announcement)
     }
 
-    /// Goes on with what is fetched from a publisher, and drops what was never announced.
+    /// Continues the download from a publisher, and drops staged content that is outdated or was not announced.
     pub(super) fn advance_staging(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let floor = self.verified_id();
         let announcements = &self.announcements;
@@ -63,7 +63,7 @@
             return self.finish_staging(now, staging, actions);
         }
         if staging.download.is_stuck(now) {
-            return; // the publisher offers it again if it is still there
+            return; // a publisher that is still alive offers it again
         }
         let (from, digest) = (staging.download.from.clone(), staging.download.transfer.digest);
         loop {
@@ -81,11 +81,11 @@
         let (from, transfer) = (download.from.clone(), download.transfer);
         let bytes = download.into_bytes();
         if Digest::of(&bytes) != transfer.digest {
-            return; // it is offered again
+            return; // the publisher offers it again
         }
         self.store_staged(now, StagedContent { announcement, base, transfer, bytes: bytes.into() });
         if self.saving.is_staged_pending() {
-            return; // answered when it is offered again and durable
+            return; // confirmed when it is offered again and durable
         }
         self.send(&from, Body::Staged { announcement }, actions);
     }
--- a/crates/distribution/src/reports.rs
+++ b/crates/distribution/src/reports.rs
@@ -47,14 +47,14 @@
             if now - as_of >= REPORT_TTL {
                 continue;
             }
-            let known = NodeReport { id: report.id, refused: report.refused, as_of };
+            let received = NodeReport { id: report.id, refused: report.refused, as_of };
             let full = self.by_node.len() >= MAX_STORED_REPORTS;
             match self.by_node.get_mut(&report.node) {
-                Some(before) if before.as_of >= as_of => {}
-                Some(before) => *before = known,
+                Some(last) if last.as_of >= as_of => {}
+                Some(last) => *last = received,
                 None if full => {}
                 None => {
-                    self.by_node.insert(report.node, known);
+                    self.by_node.insert(report.node, received);
                 }
             }
         }
@@ -62,24 +62,24 @@
 
     /// Drops reports older than [`REPORT_TTL`].
     pub fn expire(&mut self, now: Nanos) {
-        self.by_node.retain(|_, known| now.saturating_sub(known.as_of) < REPORT_TTL);
+        self.by_node.retain(|_, last| now.saturating_sub(last.as_of) < REPORT_TTL);
     }
 
     /// Returns the unexpired report of a node.
     pub fn get(&self, now: Nanos, node: u32) -> Option<NodeReport> {
-        self.by_node.get(&node).copied().filter(|known| now.saturating_sub(known.as_of) < REPORT_TTL)
+        self.by_node.get(&node).copied().filter(|last| now.saturating_sub(last.as_of) < REPORT_TTL)
     }
 
     /// Returns reports to pass on: those that follow the hash `from`, wrapping around.
     pub fn sample(&self, now: Nanos, from: u32) -> Vec<Report> {
         let after = self.by_node.range(from..).chain(self.by_node.range(..from));
-        let fresh = after.filter(|(_, known)| now.saturating_sub(known.as_of) < REPORT_TTL - 2 * AGE_STEP);
-        fresh.take(MAX_REPORTS_PER_DATAGRAM - 1).map(|(node, known)| report(now, *node, *known)).collect()
+        let fresh = after.filter(|(_, last)| now.saturating_sub(last.as_of) < REPORT_TTL - 2 * AGE_STEP);
+        fresh.take(MAX_REPORTS_PER_DATAGRAM - 1).map(|(node, last)| build_report(now, *node, *last)).collect()
     }
 }
 
 /// Builds a report, with its age rounded up by at least one step for the time in transit.
-pub fn report(now: Nanos, node: u32, known: NodeReport) -> Report {
-    let age = now.saturating_sub(known.as_of) / AGE_STEP + 1;
-    Report { node, id: known.id, refused: known.refused, age: age.min(u8::MAX.into()) as u8 }
+pub fn build_report(now: Nanos, node: u32, last: NodeReport) -> Report {
+    let age = now.saturating_sub(last.as_of) / AGE_STEP + 1;
+    Report { node, id: last.id, refused: last.refused, age: age.min(u8::MAX.into()) as u8 }
 }
