--- a/crates/fault-injection/src/doubles.rs
+++ b/crates/fault-injection/src/doubles.rs
@@ -1,7 +1,7 @@
 //! Nodes with one defect each, by which the laws are shown to catch something. They are the product's machine behind
 //! a filter: the product itself has no switch for them.
 
-use merlinfold_membership::{encode, read, Name, Record, Status, Tuning, Writer};
+use merlinfold_membership::{decode_datagram, encode_record, DatagramWriter, Name, Record, Status, Tuning};
 
 /// What a double does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,14 +28,15 @@
     /// The times it works by.
     pub fn tuning(self, tuning: Tuning) -> Tuning {
         match self {
-            Double::Trusting => Tuning { answer_within: u64::MAX / 64, ..tuning },
+            Double::Trusting => Tuning { probe_timeout: u64::MAX / 64, ..tuning },
             _ => tuning,
         }
     }
 
     /// What it hears of a datagram.
     pub fn hears(self, me: &Name, own: u64, clusters: &[u64], bytes: Vec<u8>) -> Vec<u8> {
-        let Some((mut envelope, records)) = clusters.iter().find_map(|&cluster| read(cluster, &bytes).ok())
+        let Some((mut envelope, records)) =
+            clusters.iter().find_map(|&cluster| decode_datagram(cluster, &bytes).ok())
         else {
             return bytes;
         };
@@ -47,9 +48,9 @@
         if self == Double::Merging {
             envelope.cluster = own;
         }
-        let mut writer = Writer::new(&envelope);
+        let mut writer = DatagramWriter::new(&envelope);
         for record in records.iter().filter(|record| keeps(record)) {
-            let _ = writer.add(&encode(record)); // it had room before
+            let _ = writer.add(&encode_record(record)); // it had room before
         }
         writer.finish()
     }
--- a/crates/fault-injection/src/scale.rs
+++ b/crates/fault-injection/src/scale.rs
@@ -38,11 +38,11 @@
     }
 
     fn due(&self) -> Option<Nanos> {
-        Membership::due(self)
+        Membership::next_deadline(self)
     }
 
     fn alive(&self) -> usize {
-        Membership::alive(self)
+        Membership::alive_count(self)
     }
 }
 
--- a/crates/fault-injection/src/virtual_time.rs
+++ b/crates/fault-injection/src/virtual_time.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use merlinfold_membership::{
-    Action, Change, Event, Identity, Keeping, Membership, Name, Profile, Saved, Tuning, SAVE_EVERY,
-    START_WITHIN,
+    Action, Change, Event, Identity, Membership, Name, Profile, SavedFile, SavedState, Tuning, LOAD_TIMEOUT,
+    SAVE_INTERVAL,
 };
 use merlinfold_simulation::seed::mix;
 use merlinfold_simulation::{Nanos, MS, SECOND};
@@ -55,7 +55,7 @@
     Deliver { to: usize, from: usize, bytes: Vec<u8> },
     Due(usize),
     Gone(usize, u64),
-    Join(usize, u64, Box<Saved>),
+    Join(usize, u64, Box<SavedState>),
     Save(usize, u64),
     Saved(usize, u64),
     Moment,
@@ -91,11 +91,11 @@
     }
 
     fn majority(&self, observer: usize) -> Option<bool> {
-        self.0[observer].machine.as_ref().map(Membership::majority)
+        self.0[observer].machine.as_ref().map(Membership::has_majority)
     }
 
     fn accused(&self, observer: usize) -> Option<u64> {
-        self.0[observer].machine.as_ref().map(|machine| machine.counts().accused)
+        self.0[observer].machine.as_ref().map(|machine| machine.counts().accusations)
     }
 
     fn run(&self, observer: usize) -> Option<u64> {
@@ -256,16 +256,16 @@
         let (mine, others) = (&self.nodes[node], &self.nodes[other]);
         let neighbour = others.disk.clone();
         mine.disk.start(kept, Some(&neighbour));
-        let (mut saved, faults) = Keeping::new(&mine.name, mine.cluster).start(&mine.disk);
+        let (mut saved, faults) = SavedFile::new(&mine.name, mine.cluster).record_start(&mine.disk);
         let mut takes = mine.disk.takes(START_STEPS);
         for fault in faults {
             self.report.line(self.now, Some(node), format!("fleet.mf: {fault}"));
         }
         self.nodes[node].starts += 1;
         self.nodes[node].ended = false;
-        if takes >= START_WITHIN {
+        if takes >= LOAD_TIMEOUT {
             self.report.line(self.now, Some(node), "fleet.mf: the disk does not answer".to_owned());
-            (takes, saved) = (START_WITHIN, Saved::default());
+            (takes, saved) = (LOAD_TIMEOUT, SavedState::default());
         }
         let start = self.nodes[node].starts;
         if takes > 0 {
@@ -276,13 +276,13 @@
     }
 
     /// The process has what its disk gave, or goes on without.
-    fn join(&mut self, node: usize, start: u64, saved: Saved) {
+    fn join(&mut self, node: usize, start: u64, saved: SavedState) {
         let of = &mut self.nodes[node];
         if of.starts != start || of.ended {
             return;
         }
         let random = mix(self.trial.seed ^ mix(node as u64 + (start << 20)));
-        let run = saved.run(random as u32);
+        let run = saved.run_number(random as u32);
         of.run = run;
         let seeds = (0..self.trial.fleet.seeds.min(self.trial.fleet.nodes)).map(|n| self.nodes[n].address);
         let seeds = seeds.chain(saved.addresses).collect();
@@ -298,7 +298,7 @@
         of.machine = Some(Membership::new(identity, tuning, random, self.now));
         (of.paused, of.leaving) = (false, false);
         of.inbox.clear();
-        self.push(self.now + SAVE_EVERY, Ev::Save(node, start));
+        self.push(self.now + SAVE_INTERVAL, Ev::Save(node, start));
         self.schedule(node);
     }
 
@@ -317,7 +317,7 @@
         if of.starts != start {
             return;
         }
-        let mut next = self.now + SAVE_EVERY;
+        let mut next = self.now + SAVE_INTERVAL;
         if of.machine.is_some() && of.changed && !of.paused {
             of.changed = false;
             let takes = of.disk.takes(START_STEPS);
@@ -330,7 +330,7 @@
     fn saved(&mut self, node: usize, start: u64) {
         let of = &self.nodes[node];
         let Some(machine) = of.machine.as_ref().filter(|_| of.starts == start) else { return };
-        let keeping = Keeping::new(&of.name, of.cluster);
+        let keeping = SavedFile::new(&of.name, of.cluster);
         if let Err(fault) = keeping.save(&of.disk, (of.run >> 32) as u32, machine.addresses()) {
             self.report.line(self.now, Some(node), format!("fleet.mf: {fault}"));
         }
@@ -405,14 +405,14 @@
         let what = match change {
             Change::Member { name, was, is } => format!("{name}: {} -> {is}", was.unwrap_or("unknown")),
             Change::Majority(hears) => format!("hears {}", if *hears { "most" } else { "fewer than half" }),
-            Change::StoodDown => "stands down".to_owned(),
+            Change::Superseded => "stands down".to_owned(),
         };
         self.report.line(self.now, Some(node), what);
     }
 
     fn schedule(&mut self, node: usize) {
         let of = &mut self.nodes[node];
-        let due = of.machine.as_ref().and_then(Membership::due);
+        let due = of.machine.as_ref().and_then(Membership::next_deadline);
         if of.scheduled.is_none_or(|at| due.is_some_and(|due| due < at)) {
             if let Some(due) = due {
                 let due = due.max(self.now);
@@ -431,7 +431,7 @@
             law.moment(self.now, &self.truth, &seen, &mut self.found);
         }
         let nodes = &self.nodes[..self.trial.fleet.nodes];
-        let alive = nodes.iter().map(|node| node.machine.as_ref().map(Membership::alive)).collect();
+        let alive = nodes.iter().map(|node| node.machine.as_ref().map(Membership::alive_count)).collect();
         self.report.moments.push(Moment { at: crate::report::seconds(self.now), alive, served: None });
         self.push(self.now + MOMENT, Ev::Moment);
     }
--- a/crates/fleet/src/configuration/part.rs
+++ b/crates/fleet/src/configuration/driver.rs
@@ -17,8 +17,8 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use super::{Asked, ConfigurationView, Tells};
-use crate::keeper::Disks;
+use super::{ConfigurationView, PendingPublication, Watches};
+use crate::state_store::Disks;
 
 const VIEW_EVERY: Nanos = 500 * MS; // between two looks at the membership and the log
 const TELL_EVERY: Nanos = 1_000 * MS; // an overview of the fleet
@@ -26,7 +26,7 @@
 const MAX_DONE: usize = 16; // results that wait: one of each kind of work, and those of proposals
 
 /// Something that was done on another thread.
-pub(crate) enum Done {
+pub(crate) enum Completion {
     Composed(Result<Arc<[u8]>, Rejection>),
     Applied(Result<(), Rejection>),
     Persisted(bool),
@@ -38,35 +38,36 @@
     pub ticket: Ticket,
     pub announcement: Announcement,
     pub expect: u64,
-    pub done: mpsc::Sender<Done>,
+    pub done: mpsc::Sender<Completion>,
 }
 
 impl Proposal {
     /// Tells the outcome.
     pub async fn tell(self, outcome: Result<(), ProposalError>) {
-        let _ = self.done.send(Done::Proposed(self.ticket, outcome)).await; // nobody waits in a process that ends
+        let _ = self.done.send(Completion::Proposed(self.ticket, outcome)).await;
+        // nobody waits in a process that ends
     }
 }
 
 /// What a part begins with.
-pub(crate) struct Start {
+pub(crate) struct StartOptions {
     pub settings: Settings,
     pub id: Identity,
     pub content: Arc<dyn Content>,
     pub disk: Option<(PathBuf, Disks)>,
-    pub tells: Tells,
+    pub tells: Watches,
 }
 
 /// The distribution's part of a node.
-pub(crate) struct ConfigurationPart {
+pub(crate) struct ConfigurationDriver {
     machine: Distribution,
     name: String,
     content: Arc<dyn Content>,
     disk: Option<(PathBuf, Disks)>,
-    done: (mpsc::Sender<Done>, mpsc::Receiver<Done>),
+    done: (mpsc::Sender<Completion>, mpsc::Receiver<Completion>),
     asked: BTreeMap<Ticket, oneshot::Sender<Result<RevisionId, PublishError>>>,
     tickets: Ticket,
-    tells: Tells,
+    tells: Watches,
     looked: Option<Nanos>,
     told: Nanos,
     log_index: u64, // at the last look
@@ -75,15 +76,15 @@
     to_propose: Vec<Proposal>,
 }
 
-impl ConfigurationPart {
+impl ConfigurationDriver {
     /// Whether a datagram is the distribution's.
     pub fn is_for(bytes: &[u8]) -> bool {
         bytes.starts_with(&MARK)
     }
 
     /// With what the disk holds.
-    pub async fn start(start: Start, now: Nanos) -> Self {
-        let Start { settings, id, content, disk, tells } = start;
+    pub async fn start(start: StartOptions, now: Nanos) -> Self {
+        let StartOptions { settings, id, content, disk, tells } = start;
         let name = id.name.to_string();
         let saved = match disk.clone() {
             Some((folder, disks)) => load(folder, disks, &name).await,
@@ -97,7 +98,7 @@
         };
         let mut out = Vec::new();
         let machine = Distribution::new(id, tuning, saved, fastrand::u64(..), now, &mut out);
-        let mut part = ConfigurationPart {
+        let mut part = ConfigurationDriver {
             machine,
             name,
             content,
@@ -124,7 +125,7 @@
     }
 
     /// Waits for something that was done on another thread.
-    pub async fn done(&mut self) -> Done {
+    pub async fn done(&mut self) -> Completion {
         match self.done.1.recv().await {
             Some(done) => done,
             None => std::future::pending().await, // cannot be: the sender is here
@@ -132,12 +133,12 @@
     }
 
     /// Takes what was done.
-    pub fn finish(&mut self, now: Nanos, done: Done) {
+    pub fn finish(&mut self, now: Nanos, done: Completion) {
         let event = match done {
-            Done::Composed(result) => Event::Composed(result),
-            Done::Applied(result) => Event::Applied(result),
-            Done::Persisted(durable) => Event::Persisted(durable),
-            Done::Proposed(ticket, outcome) => Event::Proposed(ticket, outcome),
+            Completion::Composed(result) => Event::Composed(result),
+            Completion::Applied(result) => Event::Applied(result),
+            Completion::Persisted(durable) => Event::Persisted(durable),
+            Completion::Proposed(ticket, outcome) => Event::Proposed(ticket, outcome),
         };
         self.feed(now, event);
     }
@@ -148,8 +149,8 @@
     }
 
     /// A revision is to be published.
-    pub fn publish(&mut self, now: Nanos, asked: Asked) {
-        let Asked { change, answer } = asked;
+    pub fn publish(&mut self, now: Nanos, asked: PendingPublication) {
+        let PendingPublication { change, answer } = asked;
         self.tickets += 1;
         self.asked.insert(self.tickets, answer);
         let publication = Publication {
@@ -221,12 +222,12 @@
                 Action::Send { to, bytes } => self.to_send.push((to, bytes)),
                 Action::Compose { base, deltas } => {
                     let content = self.content.clone();
-                    self.work(move || Done::Composed(content.compose(&base, &deltas).map(Arc::from)));
+                    self.work(move || Completion::Composed(content.compose(&base, &deltas).map(Arc::from)));
                 }
                 Action::Apply(document) => {
                     let content = self.content.clone();
                     let id = document.announcement.id;
-                    self.work(move || Done::Applied(content.apply(id, &document.bytes)));
+                    self.work(move || Completion::Applied(content.apply(id, &document.bytes)));
                 }
                 Action::Persist(write) => self.persist(write),
                 Action::Propose { ticket, announcement, expect } => {
@@ -255,7 +256,7 @@
     }
 
     /// Does something on a thread that may block, and has its result told.
-    fn work(&self, work: impl FnOnce() -> Done + Send + 'static) {
+    fn work(&self, work: impl FnOnce() -> Completion + Send + 'static) {
         let done = self.done.0.clone();
         spawn_blocking(move || {
             let _ = done.blocking_send(work()); // nobody waits in a process that ends
@@ -271,7 +272,7 @@
             if let Err(fault) = &saved {
                 warn!(folder = %folder.display(), fault, "configuration: not kept; tried again every 5 s");
             }
-            Done::Persisted(saved.is_ok())
+            Completion::Persisted(saved.is_ok())
         });
     }
 
--- a/crates/fleet/src/configuration/handle.rs
+++ b/crates/fleet/src/configuration/handle.rs
@@ -15,8 +15,8 @@
 
 /// A revision to be published. The caller has validated it: the document is the whole of it, in its canonical encoding.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
-    /// The revision that it was made from, as [`ConfigurationHandle::held`] gave it; none: it is the first.
+pub struct NewRevision {
+    /// The revision that it was made from, as [`ConfigurationHandle::publication_base`] gave it; none: it is the first.
     pub base: Option<RevisionId>,
     /// Format of the document. Nodes that do not know it refuse the revision by name and keep the one before.
     pub format: u16,
@@ -31,16 +31,16 @@
 }
 
 /// A publication and who waits for its outcome.
-pub(crate) struct Asked {
-    pub change: Change,
+pub(crate) struct PendingPublication {
+    pub change: NewRevision,
     pub answer: oneshot::Sender<Result<RevisionId, PublishError>>,
 }
 
 /// What is asked.
-pub(crate) type Asks = mpsc::Receiver<Asked>;
+pub(crate) type Publications = mpsc::Receiver<PendingPublication>;
 
 /// What the part on the socket tells.
-pub(crate) struct Tells {
+pub(crate) struct Watches {
     pub in_force: watch::Sender<Option<Document>>,
     pub held: watch::Sender<Option<Document>>,
     pub view: watch::Sender<ConfigurationView>,
@@ -49,18 +49,18 @@
 /// By which the rest of the program reaches the distribution.
 #[derive(Clone, Debug)]
 pub struct ConfigurationHandle {
-    asks: mpsc::Sender<Asked>,
+    asks: mpsc::Sender<PendingPublication>,
     in_force: watch::Receiver<Option<Document>>,
     held: watch::Receiver<Option<Document>>,
     view: watch::Receiver<ConfigurationView>,
 }
 
-pub(crate) fn channel() -> (ConfigurationHandle, Asks, Tells) {
+pub(crate) fn channel() -> (ConfigurationHandle, Publications, Watches) {
     let (asks, asked) = mpsc::channel(MAX_WAITING);
     let (tell_in_force, in_force) = watch::channel(None);
     let (tell_held, held) = watch::channel(None);
     let (tell_view, view) = watch::channel(ConfigurationView::default());
-    let tells = Tells { in_force: tell_in_force, held: tell_held, view: tell_view };
+    let tells = Watches { in_force: tell_in_force, held: tell_held, view: tell_view };
     (ConfigurationHandle { asks, in_force, held, view }, asked, tells)
 }
 
@@ -77,7 +77,7 @@
 
     /// The document that the next revision has to be made from. It differs from the one in force where `Content::apply`
     /// has refused it.
-    pub fn held(&self) -> Option<Document> {
+    pub fn publication_base(&self) -> Option<Document> {
         self.held.borrow().clone()
     }
 
@@ -89,9 +89,9 @@
     /// Publishes a revision: brings its content to a majority of the log's voters, then has it announced. When this
     /// returns an id the revision is confirmed and will not be lost while a majority of the voters stands; nodes apply it
     /// within seconds. [`PublishError::Unconfirmed`] says that it may still come to be.
-    pub async fn publish(&self, change: Change) -> Result<RevisionId, PublishError> {
+    pub async fn publish(&self, change: NewRevision) -> Result<RevisionId, PublishError> {
         let (answer, answered) = oneshot::channel();
-        self.asks.try_send(Asked { change, answer }).map_err(|error| match error {
+        self.asks.try_send(PendingPublication { change, answer }).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => PublishError::Busy,
             mpsc::error::TrySendError::Closed(_) => PublishError::Ended,
         })?;
--- a/crates/fleet/src/configuration/mod.rs
+++ b/crates/fleet/src/configuration/mod.rs
@@ -3,11 +3,11 @@
 //! Off without `[fleet.configuration]`. What a document means is the [`Content`](merlinfold_distribution::Content) that
 //! the program hands in; nothing here reads one.
 
+mod driver;
 mod handle;
-mod part;
 mod view;
 
-pub(crate) use handle::{channel, Asked, Asks, Tells};
-pub use handle::{Change, ConfigurationHandle};
-pub(crate) use part::{ConfigurationPart, Done, Proposal, Start};
+pub(crate) use driver::{Completion, ConfigurationDriver, Proposal, StartOptions};
+pub(crate) use handle::{channel, PendingPublication, Publications, Watches};
+pub use handle::{ConfigurationHandle, NewRevision};
 pub use view::{ConfigurationView, RefusedRevision};
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,14 +5,14 @@
 //! of their own, one at a time.
 
 mod configuration;
-mod keeper;
 mod log;
 mod run;
-mod saving;
 mod snapshot;
+mod state_store;
+mod view_saver;
 
-pub use configuration::{Change, ConfigurationHandle, ConfigurationView, RefusedRevision};
-pub use keeper::Disks;
-pub use log::{LogHandle, LogView, NotAgreed};
+pub use configuration::{ConfigurationHandle, ConfigurationView, NewRevision, RefusedRevision};
+pub use log::{LogHandle, LogView, SetError};
 pub use run::Fleet;
 pub use snapshot::{MemberLine, Snapshot, ZoneLine, SCHEMA};
+pub use state_store::Disks;
--- a/crates/fleet/src/log/part.rs
+++ b/crates/fleet/src/log/driver.rs
@@ -18,21 +18,21 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use super::{Asked, LogView, NotAgreed};
+use super::{LogView, PendingProposal, SetError};
 use crate::configuration::Proposal;
-use crate::keeper::Disks;
+use crate::state_store::Disks;
 
 const MARK: &[u8] = b"ma";
 const VIEW_EVERY: Nanos = 250_000_000; // between two looks at the membership
 const LOAD_WITHIN: Duration = Duration::from_secs(5); // that a disk may take over a start
 
 /// The log's part of a node.
-pub(crate) struct LogPart {
+pub(crate) struct LogDriver {
     machine: ReplicatedLog,
     name: String,
     disk: Option<(PathBuf, Disks)>,
     saved: (mpsc::Sender<bool>, mpsc::Receiver<bool>), // one at most is under way
-    asked: BTreeMap<CommandId, Vec<oneshot::Sender<Result<u64, NotAgreed>>>>,
+    asked: BTreeMap<CommandId, Vec<oneshot::Sender<Result<u64, SetError>>>>,
     tell: watch::Sender<LogView>,
     looked: Nanos,
     halted: Option<String>,
@@ -42,7 +42,7 @@
     sent_bytes: u64,
 }
 
-impl LogPart {
+impl LogDriver {
     /// Whether a datagram is the log's.
     pub fn is_for(bytes: &[u8]) -> bool {
         bytes.starts_with(MARK) && bytes.len() <= MAX_DATAGRAM
@@ -67,7 +67,7 @@
         };
         let mut out = Vec::new();
         let machine = ReplicatedLog::new(id, Tuning::default(), kept, fastrand::u64(..), now, &mut out);
-        let mut part = LogPart {
+        let mut part = LogDriver {
             machine,
             name: name.to_owned(),
             disk,
@@ -107,8 +107,8 @@
         self.feed(now, Event::Datagram(bytes));
     }
 
-    pub fn ask(&mut self, now: Nanos, asked: Asked) {
-        let Asked { command, answer } = asked;
+    pub fn ask(&mut self, now: Nanos, asked: PendingProposal) {
+        let PendingProposal { command, answer } = asked;
         if let Err(unsent) = self.machine.check_proposal(&command) {
             let _ = answer.send(Err(unsent.into())); // who has left wants no answer
             return;
@@ -170,12 +170,12 @@
         let body = postcard::to_stdvec(&set).unwrap_or_default();
         let (answer, answered) = oneshot::channel();
         let id = fastrand::u128(1..);
-        self.ask(now, Asked { command: Command { id, kind: SET, body }, answer });
+        self.ask(now, PendingProposal { command: Command { id, kind: SET, body }, answer });
         tokio::spawn(async move {
             let outcome = match answered.await {
                 Ok(Ok(_)) => Ok(()),
-                Ok(Err(NotAgreed::SetAside(Refusal::Revision(_)))) => Err(ProposalError::Superseded),
-                Ok(Err(NotAgreed::Unconfirmed)) | Err(_) => Err(ProposalError::Unconfirmed),
+                Ok(Err(SetError::SetAside(Refusal::Revision(_)))) => Err(ProposalError::Superseded),
+                Ok(Err(SetError::Unconfirmed)) | Err(_) => Err(ProposalError::Unconfirmed),
                 Ok(Err(other)) => Err(ProposalError::NotTaken(other.to_string())),
             };
             proposal.tell(outcome).await;
@@ -235,7 +235,7 @@
             }
             Notification::ProposalTimedOut(id) => {
                 for answer in self.asked.remove(&id).unwrap_or_default() {
-                    let _ = answer.send(Err(NotAgreed::Unconfirmed));
+                    let _ = answer.send(Err(SetError::Unconfirmed));
                 }
             }
             Notification::StateReplaced(group, index) => {
@@ -265,7 +265,7 @@
         self.tell.send_replace(LogView {
             epoch: standing.group.epoch,
             index: standing.index,
-            told: standing.latest_announced,
+            latest_announced: standing.latest_announced,
             fresh: standing.is_current,
             votes: standing.voter_slot.is_some(),
             leads: standing.is_leader,
--- a/crates/fleet/src/log/handle.rs
+++ b/crates/fleet/src/log/handle.rs
@@ -20,7 +20,8 @@
     /// The last entry applied here.
     pub index: u64,
     /// The last entry that anybody told of.
-    pub told: u64,
+    #[serde(rename = "told")]
+    pub latest_announced: u64,
     /// Whether this is as new as anybody has told of late; else it is old, and used as such.
     pub fresh: bool,
     /// Whether this node votes.
@@ -43,7 +44,7 @@
 
 /// Why something is not agreed, as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum NotAgreed {
+pub enum SetError {
     /// It was agreed that it changes nothing.
     #[error("set aside at all nodes: {0}")]
     SetAside(Refusal),
@@ -52,32 +53,32 @@
     Unconfirmed,
     /// It cannot be sent.
     #[error("{0}")]
-    Unsent(#[from] ProposalError),
+    Invalid(#[from] ProposalError),
     /// There is too much to take in.
     #[error("too many calls at once: try again")]
     Busy,
     /// The part that could agree on it has ended.
     #[error("this process takes no part in the log any more: ask another node")]
-    Ended,
+    Stopped,
 }
 
 /// A command and who waits for it.
-pub(crate) struct Asked {
+pub(crate) struct PendingProposal {
     pub command: Command,
-    pub answer: oneshot::Sender<Result<u64, NotAgreed>>,
+    pub answer: oneshot::Sender<Result<u64, SetError>>,
 }
 
 /// What is asked.
-pub(crate) type Asks = mpsc::Receiver<Asked>;
+pub(crate) type Proposals = mpsc::Receiver<PendingProposal>;
 
 /// By which the rest of the program reaches the log.
 #[derive(Clone, Debug)]
 pub struct LogHandle {
-    asks: mpsc::Sender<Asked>,
+    asks: mpsc::Sender<PendingProposal>,
     seen: watch::Receiver<LogView>,
 }
 
-pub(crate) fn channel() -> (LogHandle, Asks, watch::Sender<LogView>) {
+pub(crate) fn channel() -> (LogHandle, Proposals, watch::Sender<LogView>) {
     let (asks, asked) = mpsc::channel(ASKS_MOST);
     let (tell, seen) = watch::channel(LogView::default());
     (LogHandle { asks, seen }, asked, tell)
@@ -90,7 +91,7 @@
     }
 
     /// Reads the view as of now without copying it; the log tells nothing new until `read` returns.
-    pub fn look(&self, read: impl FnOnce(&LogView)) {
+    pub fn with_view(&self, read: impl FnOnce(&LogView)) {
         read(&self.seen.borrow());
     }
 
@@ -98,27 +99,27 @@
     /// same id takes effect once.
     pub async fn set(
         &self, id: u128, key: String, value: Vec<u8>, expect: Option<u64>,
-    ) -> Result<u64, NotAgreed> {
+    ) -> Result<u64, SetError> {
         let body = postcard::to_stdvec(&Set { key, expect, value }).unwrap_or_default();
         let (answer, answered) = oneshot::channel();
-        let asked = Asked { command: Command { id, kind: SET, body }, answer };
+        let asked = PendingProposal { command: Command { id, kind: SET, body }, answer };
         self.asks.try_send(asked).map_err(|error| match error {
-            mpsc::error::TrySendError::Full(_) => NotAgreed::Busy,
-            mpsc::error::TrySendError::Closed(_) => NotAgreed::Ended,
+            mpsc::error::TrySendError::Full(_) => SetError::Busy,
+            mpsc::error::TrySendError::Closed(_) => SetError::Stopped,
         })?;
         match timeout(PATIENCE, answered).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => Err(NotAgreed::Ended),
-            Err(_) => Err(NotAgreed::Unconfirmed),
+            Ok(Err(_)) => Err(SetError::Stopped),
+            Err(_) => Err(SetError::Unconfirmed),
         }
     }
 }
 
-impl From<Outcome> for NotAgreed {
+impl From<Outcome> for SetError {
     fn from(outcome: Outcome) -> Self {
         match outcome {
-            Outcome::SetAside(refusal) => NotAgreed::SetAside(refusal),
-            Outcome::Done(_) => NotAgreed::Unconfirmed,
+            Outcome::SetAside(refusal) => SetError::SetAside(refusal),
+            Outcome::Done(_) => SetError::Unconfirmed,
         }
     }
 }
--- a/crates/fleet/src/log/mod.rs
+++ b/crates/fleet/src/log/mod.rs
@@ -1,8 +1,8 @@
 //! The agreed log on the fleet's socket: the thin part around `merlinfold-replicated-log`.
 
+mod driver;
 mod handle;
-mod part;
 
-pub(crate) use handle::{channel, Asked, Asks};
-pub use handle::{LogHandle, LogView, NotAgreed};
-pub(crate) use part::LogPart;
+pub(crate) use driver::LogDriver;
+pub(crate) use handle::{channel, PendingProposal, Proposals};
+pub use handle::{LogHandle, LogView, SetError};
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -17,11 +17,11 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, info, warn};
 
-use crate::configuration::{self, ConfigurationHandle, ConfigurationPart, Start};
-use crate::keeper::{Disks, Keeper};
-use crate::log::{channel, Asks, LogHandle, LogPart, LogView};
-use crate::saving::Saving;
+use crate::configuration::{self, ConfigurationDriver, ConfigurationHandle, StartOptions};
+use crate::log::{channel, LogDriver, LogHandle, LogView, Proposals};
 use crate::snapshot::Snapshot;
+use crate::state_store::{Disks, StateStore};
+use crate::view_saver::ViewSaver;
 
 const READ_AT_ONCE: usize = 64; // datagrams between two looks at the time and at the rest of the process
 const TELL_EVERY: Duration = Duration::from_secs(1); // a snapshot at least
@@ -36,8 +36,8 @@
     socket: UdpSocket,
     seen: watch::Sender<Snapshot>,
     disks: Disks,
-    log: Option<(LogHandle, Asks, watch::Sender<LogView>)>,
-    configuration: Option<(Arc<dyn Content>, configuration::Asks, configuration::Tells)>,
+    log: Option<(LogHandle, Proposals, watch::Sender<LogView>)>,
+    configuration: Option<(Arc<dyn Content>, configuration::Publications, configuration::Watches)>,
 }
 
 impl Fleet {
@@ -66,7 +66,7 @@
     }
 
     /// By which the rest of the program reaches the agreed log, if there is to be one.
-    pub fn log(&self) -> Option<LogHandle> {
+    pub fn log_handle(&self) -> Option<LogHandle> {
         self.log.as_ref().map(|(handle, ..)| handle.clone())
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Keeps its files on these.
-    pub fn on(self, disks: Disks) -> Self {
+    pub fn with_disks(self, disks: Disks) -> Self {
         Fleet { disks, ..self }
     }
 
@@ -94,9 +94,9 @@
     pub async fn run(self, mut leave: watch::Receiver<bool>) {
         let Fleet { name, settings, socket, seen, disks, log, configuration } = self;
         let cluster = settings.cluster.as_str();
-        let keeper = settings.folder.clone().map(|at| Keeper::new(at, disks.clone(), &name, cluster));
+        let keeper = settings.folder.clone().map(|at| StateStore::new(at, disks.clone(), &name, cluster));
         let saved = match &keeper {
-            Some(keeper) => keeper.start().await,
+            Some(keeper) => keeper.record_start().await,
             None => Default::default(),
         };
         let own = match socket.local_addr() {
@@ -105,7 +105,7 @@
         };
         let mut seeds = settings.seeds.clone();
         seeds.extend(&saved.addresses);
-        let run = saved.run(fastrand::u32(..));
+        let run = saved.run_number(fastrand::u32(..));
         let identity = Identity {
             cluster: cluster.into(),
             name: name.as_str().into(),
@@ -115,7 +115,7 @@
                 machine: settings.machine.as_str().into(),
                 address: own,
                 version: env!("CARGO_PKG_VERSION").into(),
-                protocols: (merlinfold_membership::VERSION, merlinfold_membership::VERSION),
+                protocols: (merlinfold_membership::PROTOCOL_VERSION, merlinfold_membership::PROTOCOL_VERSION),
             },
             seeds,
         };
@@ -124,7 +124,7 @@
         let (log, asks) = match (log, &settings.log) {
             (Some((_, asks, tell)), Some(log)) => {
                 let disk = settings.folder.clone().map(|folder| (folder, disks.clone()));
-                (Some(LogPart::start(log, (&name, number, run), disk, tell, 0).await), Some(asks))
+                (Some(LogDriver::start(log, (&name, number, run), disk, tell, 0).await), Some(asks))
             }
             _ => (None, None),
         };
@@ -136,12 +136,12 @@
                     zone: settings.zone.as_str().into(),
                 };
                 let disk = settings.folder.clone().map(|folder| (folder, disks));
-                let start = Start { settings: table, id, content, disk, tells };
-                (Some(ConfigurationPart::start(start, 0).await), Some(asks))
+                let start = StartOptions { settings: table, id, content, disk, tells };
+                (Some(ConfigurationDriver::start(start, 0).await), Some(asks))
             }
             _ => (None, None),
         };
-        let mut part = Part {
+        let mut part = EventLoop {
             log,
             configuration,
             machine: Membership::new(identity, Tuning::default(), fastrand::u64(..), 0),
@@ -155,14 +155,14 @@
             uncounted: 0,
             reported: Instant::now(),
         };
-        let mut saving = Saving::new(keeper, saved.starts);
+        let mut saving = ViewSaver::new(keeper, saved.starts);
         part.play(&mut leave, &mut saving, asks, changes_asked).await;
         part.tell();
     }
 }
 
 /// Waits for the log's disk; without a log for ever.
-async fn saved(log: &mut Option<LogPart>) -> bool {
+async fn saved(log: &mut Option<LogDriver>) -> bool {
     match log {
         Some(log) => log.saved().await,
         None => std::future::pending().await,
@@ -181,16 +181,16 @@
 }
 
 /// Waits for work of the configuration's part; without one for ever.
-async fn done(configuration: &mut Option<ConfigurationPart>) -> configuration::Done {
+async fn done(configuration: &mut Option<ConfigurationDriver>) -> configuration::Completion {
     match configuration {
         Some(configuration) => configuration.done().await,
         None => std::future::pending().await,
     }
 }
 
-struct Part {
-    log: Option<LogPart>,
-    configuration: Option<ConfigurationPart>,
+struct EventLoop {
+    log: Option<LogDriver>,
+    configuration: Option<ConfigurationDriver>,
     machine: Membership,
     begun: Instant,
     me: String,
@@ -203,19 +203,19 @@
     reported: Instant,
 }
 
-impl Part {
+impl EventLoop {
     /// Monotonic: a clock that is set does not move it.
     fn now(&self) -> Nanos {
         self.begun.elapsed().as_nanos() as Nanos
     }
 
     async fn play(
-        &mut self, leave: &mut watch::Receiver<bool>, saving: &mut Saving, mut asks: Option<Asks>,
-        mut changes_asked: Option<configuration::Asks>,
+        &mut self, leave: &mut watch::Receiver<bool>, saving: &mut ViewSaver, mut asks: Option<Proposals>,
+        mut changes_asked: Option<configuration::Publications>,
     ) {
         let mut buffer = [0; MAX_DATAGRAM + 1];
         let mut leaving = false;
-        while let Some(due) = self.machine.due() {
+        while let Some(due) = self.machine.next_deadline() {
             let due = self.log.as_ref().map_or(due, |log| due.min(log.due()));
             let due = self.configuration.as_ref().map_or(due, |configuration| due.min(configuration.due()));
             let wake = (self.begun + Duration::from_nanos(due)).min(self.told + TELL_EVERY);
@@ -269,11 +269,11 @@
     fn read(&mut self, buffer: &mut [u8; MAX_DATAGRAM + 1]) {
         for _ in 0..READ_AT_ONCE {
             match self.socket.try_recv_from(buffer) {
-                Ok((length, _)) if self.log.is_some() && LogPart::is_for(&buffer[..length]) => {
+                Ok((length, _)) if self.log.is_some() && LogDriver::is_for(&buffer[..length]) => {
                     let now = self.now();
                     self.log.iter_mut().for_each(|log| log.hear(now, &buffer[..length]));
                 }
-                Ok((length, _)) if ConfigurationPart::is_for(&buffer[..length]) => {
+                Ok((length, _)) if ConfigurationDriver::is_for(&buffer[..length]) => {
                     let now = self.now();
                     let part = self.configuration.iter_mut();
                     part.for_each(|configuration| configuration.hear(now, &buffer[..length]));
@@ -343,7 +343,7 @@
             Change::Majority(hears) => {
                 self.changes.push_back(if hears { "hears most" } else { "hears fewer than half" }.to_owned());
             }
-            Change::StoodDown => {
+            Change::Superseded => {
                 warn!(name = self.me, "fleet: another process has this name and keeps it: this one takes no part and goes on serving");
             }
         }
@@ -360,18 +360,18 @@
         }
         self.reported = Instant::now();
         let changes: Vec<String> = self.changes.drain(..).collect();
-        let (more, sure) = (std::mem::take(&mut self.uncounted), self.machine.confidence(self.now()));
+        let (more, sure) = (std::mem::take(&mut self.uncounted), self.machine.summary(self.now()));
         let counts = self.machine.counts();
-        let dropped: u64 = counts.faults.values().sum();
+        let dropped: u64 = counts.dropped.values().sum();
         info!(
             alive = sure.alive,
             known = sure.known,
             majority = sure.majority,
             changes = changes.join(", "),
             more,
-            accused = counts.accused,
-            refuted = counts.refuted,
-            held_up = counts.held_up,
+            accused = counts.accusations,
+            refuted = counts.refutations,
+            held_up = counts.stalls,
             dropped,
             "fleet"
         );
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -78,12 +78,12 @@
 impl Snapshot {
     /// As of now.
     pub fn of(me: &str, machine: &Membership, now: Nanos) -> Self {
-        let sure = machine.confidence(now);
-        let zone = |view: &merlinfold_membership::ZoneView| ZoneLine {
+        let sure = machine.summary(now);
+        let zone = |view: &merlinfold_membership::ZoneCounts| ZoneLine {
             alive: view.alive,
             suspect: view.suspect,
             dead: view.dead,
-            heard: view.heard,
+            heard: view.recently_heard,
         };
         let zones: BTreeMap<String, ZoneLine> =
             sure.zones.iter().map(|(name, view)| (name.to_string(), zone(view))).collect();
@@ -91,12 +91,12 @@
         let mut counts = BTreeMap::from([
             ("sent".to_owned(), counted.sent),
             ("sent_bytes".to_owned(), counted.sent_bytes),
-            ("heard".to_owned(), counted.heard),
-            ("accused".to_owned(), counted.accused),
-            ("refuted".to_owned(), counted.refuted),
-            ("held_up".to_owned(), counted.held_up),
+            ("heard".to_owned(), counted.accepted),
+            ("accused".to_owned(), counted.accusations),
+            ("refuted".to_owned(), counted.refutations),
+            ("held_up".to_owned(), counted.stalls),
         ]);
-        counts.extend(counted.faults.iter().map(|(fault, n)| (format!("dropped.{}", fault.name()), *n)));
+        counts.extend(counted.dropped.iter().map(|(fault, n)| (format!("dropped.{}", fault.name()), *n)));
         let members = machine.members(now).into_iter().map(|member| MemberLine {
             name: member.name.to_string(),
             state: member.state.to_owned(),
@@ -112,7 +112,7 @@
             schema: SCHEMA,
             me: me.to_owned(),
             run: machine.run(),
-            takes_part: machine.takes_part(),
+            takes_part: machine.is_active(),
             majority: sure.majority,
             alive: sure.alive,
             known: sure.known,
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/state_store.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use merlinfold_membership::{Keeping, Saved, START_WITHIN};
+use merlinfold_membership::{SavedFile, SavedState, LOAD_TIMEOUT};
 use merlinfold_store::{Disk, Folder, StoreError};
 use tokio::task::spawn_blocking;
 use tokio::time::timeout;
@@ -21,7 +21,7 @@
 
 impl Disks {
     /// By this function, called for every piece of work on a disk.
-    pub fn by(open: impl Fn(&Path) -> io::Result<Box<dyn Disk>> + Send + Sync + 'static) -> Self {
+    pub fn with_opener(open: impl Fn(&Path) -> io::Result<Box<dyn Disk>> + Send + Sync + 'static) -> Self {
         Disks(Arc::new(open))
     }
 }
@@ -36,7 +36,7 @@
 impl Default for Disks {
     /// Folders as they are.
     fn default() -> Self {
-        Disks::by(|path| Ok(Box::new(Folder::open(path)?)))
+        Disks::with_opener(|path| Ok(Box::new(Folder::open(path)?)))
     }
 }
 
@@ -48,22 +48,22 @@
 
 /// Keeps the view of one node.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct StateStore {
     folder: PathBuf,
     disks: Disks,
-    keeping: Keeping,
+    keeping: SavedFile,
     writing: Arc<Mutex<()>>, // one at a time, also after one that took too long
 }
 
-impl Keeper {
+impl StateStore {
     /// In this folder.
     pub fn new(folder: PathBuf, disks: Disks, name: &str, cluster: &str) -> Self {
-        Keeper { folder, disks, keeping: Keeping::new(name, cluster), writing: Arc::default() }
+        StateStore { folder, disks, keeping: SavedFile::new(name, cluster), writing: Arc::default() }
     }
 
     /// Does something with the disk, on a thread that may wait; none if the thread ended without a word.
     async fn with<T: Send + 'static>(
-        &self, work: impl FnOnce(&Keeping, &dyn Disk) -> T + Send + 'static,
+        &self, work: impl FnOnce(&SavedFile, &dyn Disk) -> T + Send + 'static,
     ) -> Option<Result<T, StoreError>> {
         let keeper = self.clone();
         let done = spawn_blocking(move || {
@@ -77,15 +77,15 @@
 
     /// Counts this start, durably, and returns what was kept. A disk that fails or takes too long is named, and the
     /// node goes on without.
-    pub async fn start(&self) -> Saved {
+    pub async fn record_start(&self) -> SavedState {
         let file = self.folder.join(self.keeping.name());
-        let begun = self.with(|keeping, disk| keeping.start(disk));
-        let (saved, faults) = match timeout(Duration::from_nanos(START_WITHIN), begun).await {
+        let begun = self.with(|keeping, disk| keeping.record_start(disk));
+        let (saved, faults) = match timeout(Duration::from_nanos(LOAD_TIMEOUT), begun).await {
             Ok(Some(Ok(begun))) => begun,
-            Ok(Some(Err(fault))) => (Saved::default(), vec![fault]),
+            Ok(Some(Err(fault))) => (SavedState::default(), vec![fault]),
             Ok(None) | Err(_) => {
                 warn!(file = %file.display(), "fleet: the disk does not answer: joining without what was kept");
-                (Saved::default(), Vec::new())
+                (SavedState::default(), Vec::new())
             }
         };
         for fault in faults {
--- a/crates/fleet/src/saving.rs
+++ b/crates/fleet/src/view_saver.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-use merlinfold_membership::{Membership, SAVE_EVERY};
+use merlinfold_membership::{Membership, SAVE_INTERVAL};
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 use tracing::warn;
 
-use crate::keeper::Keeper;
+use crate::state_store::StateStore;
 
 /// The view on its way to the disk.
-pub(crate) struct Saving {
-    keeper: Option<Keeper>,
+pub(crate) struct ViewSaver {
+    keeper: Option<StateStore>,
     starts: u32,
     last: Instant,
     dirty: bool,
     under_way: Option<JoinHandle<()>>, // at most one
 }
 
-impl Saving {
+impl ViewSaver {
     /// Nothing has changed yet.
-    pub fn new(keeper: Option<Keeper>, starts: u32) -> Self {
-        Saving { keeper, starts, last: Instant::now(), dirty: false, under_way: None }
+    pub fn new(keeper: Option<StateStore>, starts: u32) -> Self {
+        ViewSaver { keeper, starts, last: Instant::now(), dirty: false, under_way: None }
     }
 
     /// Whether something has changed since.
@@ -35,7 +35,7 @@
         let Some(keeper) = self
             .keeper
             .clone()
-            .filter(|_| self.dirty && !busy && self.last.elapsed() >= Duration::from_nanos(SAVE_EVERY))
+            .filter(|_| self.dirty && !busy && self.last.elapsed() >= Duration::from_nanos(SAVE_INTERVAL))
         else {
             return;
         };
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 
 use merlinfold_distribution::{Content, Delta, Rejection, RevisionId};
-use merlinfold_fleet::{Change, ConfigurationHandle};
+use merlinfold_fleet::{ConfigurationHandle, NewRevision};
 
 /// Documents are bytes, a delta is what is added at the end; some documents are refused.
 #[derive(Default)]
@@ -38,11 +38,11 @@
 }
 
 /// The next revision: what a node holds, with this added.
-pub fn appended(handle: &ConfigurationHandle, added: &[u8]) -> Change {
-    let held = handle.held();
+pub fn appended(handle: &ConfigurationHandle, added: &[u8]) -> NewRevision {
+    let held = handle.publication_base();
     let mut document = held.as_ref().map_or_else(Vec::new, |held| held.bytes.to_vec());
     document.extend(added);
-    Change {
+    NewRevision {
         base: held.as_ref().map(|held| held.announcement.id),
         format: 1,
         document,
--- a/crates/fleet/tests/configuration.rs
+++ b/crates/fleet/tests/configuration.rs
@@ -58,7 +58,7 @@
         let (mut fleet, _) = Fleet::open(&format!("n{number}"), settings).unwrap();
         let content = Arc::new(Appended { refuses, ..Appended::default() });
         let handle = fleet.serve_configuration(content.clone()).unwrap();
-        let (address, log) = (fleet.address().unwrap(), fleet.log().unwrap());
+        let (address, log) = (fleet.address().unwrap(), fleet.log_handle().unwrap());
         let (leave, leaves) = watch::channel(false);
         let task = tokio::spawn(fleet.run(leaves));
         Node { address, content, handle, log, task, _leave: leave }
--- a/crates/fleet/tests/processes.rs
+++ b/crates/fleet/tests/processes.rs
@@ -50,7 +50,7 @@
     runtime.block_on(async {
         let (mut fleet, _) = Fleet::open(&name, settings).unwrap();
         let configuration = fleet.serve_configuration(Arc::new(Appended::default())).unwrap();
-        let log = fleet.log().unwrap();
+        let log = fleet.log_handle().unwrap();
         let (_leave, leaves) = watch::channel(false);
         tokio::spawn(fleet.run(leaves));
         let mut lines = AsyncReader::new(tokio::io::stdin()).lines();
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -76,7 +76,7 @@
             sample.held_up += count("held_up");
         }
         if let Some(log) = &running.log {
-            log.look(|view| {
+            log.with_view(|view| {
                 sample.log_messages += view.sent;
                 sample.log_bytes += view.sent_bytes;
                 (sample.log_index, sample.log_values) = (view.index, view.values.len());
@@ -190,7 +190,7 @@
         let settings = config.fleet.ok_or("no fleet in the table of a node")?;
         let opened = Fleet::open(&format!("n{node}"), settings);
         let (fleet, seen) = opened.map_err(|error| format!("node {node}: {error}"))?;
-        let log = fleet.log();
+        let log = fleet.log_handle();
         let (leave, leaves) = watch::channel(false);
         let hosted = self.nodes.entry(node).or_default();
         let task = tokio::spawn(hosted.meter.clone().count(fleet.run(leaves))).abort_handle();
--- a/crates/lab/src/trial/faulty.rs
+++ b/crates/lab/src/trial/faulty.rs
@@ -183,7 +183,7 @@
 /// Disks that do what the files beside them say.
 pub fn disks(seed: u64) -> Disks {
     let stores: Mutex<BTreeMap<PathBuf, Arc<Faulty<Folder>>>> = Mutex::default();
-    Disks::by(move |path| {
+    Disks::with_opener(move |path| {
         let folder = Folder::open(path)?;
         let mut stores = stores.lock().unwrap_or_else(PoisonError::into_inner);
         let store = stores.entry(path.to_owned()).or_insert_with(|| {
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -38,11 +38,11 @@
     }
 
     fn due(&self) -> Option<Nanos> {
-        self.machine.due().map(|due| due.min(self.next))
+        self.machine.next_deadline().map(|due| due.min(self.next))
     }
 
     fn alive(&self) -> usize {
-        self.machine.alive()
+        self.machine.alive_count()
     }
 }
 
--- a/crates/membership/src/broadcast.rs
+++ b/crates/membership/src/broadcast.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::record::{Name, Record, Status};
-use crate::wire::{encode, Writer};
+use crate::wire::{encode_record, DatagramWriter};
 
 /// A member, and its accuser where the broadcast is an accusation: broadcasts of one key take each other's place, and
 /// as accusers count, each has its own.
@@ -30,7 +30,7 @@
         if accuser.is_none() {
             self.remove(&record.name);
         }
-        let broadcast = Broadcast { bytes: encode(record), transmissions: 0 };
+        let broadcast = Broadcast { bytes: encode_record(record), transmissions: 0 };
         self.0.insert((record.name.clone(), accuser), broadcast);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Fills the datagram with what was transmitted least often. A broadcast ends after `max_transmissions`.
-    pub fn fill(&mut self, writer: &mut Writer, max_transmissions: u32) {
+    pub fn fill(&mut self, writer: &mut DatagramWriter, max_transmissions: u32) {
         if self.0.is_empty() {
             return;
         }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -42,49 +42,49 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
     /// Time between probes.
-    pub probe_every: Nanos,
+    pub probe_interval: Nanos,
     /// Time for an answer to one try of a probe; above the round trip between the farthest zones.
-    pub answer_within: Nanos,
+    pub probe_timeout: Nanos,
     /// Helpers that are asked at the second and third try, each.
     pub helpers: usize,
     /// Time from accusation to death with as many accusers as are wanted.
-    pub refute_least: Nanos,
+    pub min_suspicion_time: Nanos,
     /// The same with one accuser.
-    pub refute_most: Nanos,
+    pub max_suspicion_time: Nanos,
     /// Further accusers that are wanted.
-    pub accusers: usize,
+    pub confirmations: usize,
     /// Members that check an accusation themselves, on average.
-    pub checkers: usize,
+    pub mean_checkers: usize,
     /// Time between rounds of gossip, while there is something to tell.
-    pub gossip_every: Nanos,
+    pub gossip_interval: Nanos,
     /// Members that are told in a round.
     pub fan_out: usize,
     /// Time between digests to a live member.
-    pub digest_every: Nanos,
+    pub digest_interval: Nanos,
     /// Time between tries to reach a dead member or a seed.
-    pub rejoin_every: Nanos,
+    pub rejoin_interval: Nanos,
     /// How long a dead member is remembered.
-    pub forget_dead: Nanos,
+    pub dead_retention: Nanos,
     /// How long one that left is remembered.
-    pub forget_left: Nanos,
+    pub left_retention: Nanos,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            probe_every: 200 * MS,
-            answer_within: 50 * MS,
+            probe_interval: 200 * MS,
+            probe_timeout: 50 * MS,
             helpers: 3,
-            refute_least: 600 * MS,
-            refute_most: 6_000 * MS,
-            accusers: 3,
-            checkers: 6,
-            gossip_every: 80 * MS,
+            min_suspicion_time: 600 * MS,
+            max_suspicion_time: 6_000 * MS,
+            confirmations: 3,
+            mean_checkers: 6,
+            gossip_interval: 80 * MS,
             fan_out: 3,
-            digest_every: 5_000 * MS,
-            rejoin_every: 2_000 * MS,
-            forget_dead: 300_000 * MS,
-            forget_left: 60_000 * MS,
+            digest_interval: 5_000 * MS,
+            rejoin_interval: 2_000 * MS,
+            dead_retention: 300_000 * MS,
+            left_retention: 60_000 * MS,
         }
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,7 +4,7 @@
 //! clock and writes no file: the same code runs in the product and, by the thousand, in virtual time.
 //!
 //! It is no agreement. Two nodes may see different fleets at any moment, and nothing may be built on their seeing
-//! the same. What it gives with the view is how sure it is ([`Confidence`]). It knows no keys: whoever can send
+//! the same. What it gives with the view is how sure it is ([`ViewSummary`]). It knows no keys: whoever can send
 //! datagrams to a member can mislead it, so its network has to be a trusted one.
 //!
 //! ```
@@ -19,7 +19,7 @@
 //! let (mut one, mut two) = (node("one", 1, vec![]), node("two", 2, vec![address(1)]));
 //! let (mut now, mut out) = (0, Vec::new());
 //! while one.members(now).len() < 2 {
-//!     now = now.max(two.due().unwrap());
+//!     now = now.max(two.next_deadline().unwrap());
 //!     two.handle(now, Event::Tick, &mut out);
 //!     for action in std::mem::take(&mut out) {
 //!         if let Action::Send { bytes, .. } = action {
@@ -40,9 +40,12 @@
 mod wire;
 
 pub use config::{Identity, Nanos, Tuning, MAX_MEMBERS, MS};
-pub use machine::{Action, Event, Membership, HELD_UP};
+pub use machine::{Action, Event, Membership, STALL_THRESHOLD};
 pub use peer::State;
-pub use record::{Name, Profile, Record, Status, MAX_INCARNATION, MAX_WORD};
-pub use saved::{Keeping, Saved, MAX_ADDRESSES, SAVED_VERSION, SAVE_EVERY, START_WITHIN};
-pub use view::{Change, Confidence, Counts, Member, ZoneView};
-pub use wire::{encode, read, Body, Envelope, Fault, Window, Writer, MAX_DATAGRAM, VERSION};
+pub use record::{Name, Profile, Record, Status, MAX_INCARNATION, MAX_TEXT_BYTES};
+pub use saved::{SavedFile, SavedState, LOAD_TIMEOUT, MAX_ADDRESSES, SAVED_FORMAT_VERSION, SAVE_INTERVAL};
+pub use view::{Change, Counts, Member, ViewSummary, ZoneCounts};
+pub use wire::{
+    decode_datagram, encode_record, Body, DatagramError, DatagramWriter, Envelope, ReplayWindow,
+    MAX_DATAGRAM, PROTOCOL_VERSION,
+};
--- a/crates/membership/src/machine/anti_entropy.rs
+++ b/crates/membership/src/machine/anti_entropy.rs
@@ -7,14 +7,14 @@
 use super::{Action, Membership};
 use crate::config::{Nanos, MS};
 use crate::record::{Name, Record, Status};
-use crate::wire::{encode, Body, Fault};
+use crate::wire::{encode_record, Body, DatagramError};
 
 /// Buckets of a digest.
 const BUCKETS: usize = 64;
 /// Replies to digests that wait at once.
 const MAX_DIGEST_REPLIES: usize = 64;
 /// Time between rounds of replies.
-const REPLIES_EVERY: Nanos = 20 * MS;
+const REPLY_INTERVAL: Nanos = 20 * MS;
 /// Datagrams of replies in a round.
 const REPLIES_PER_ROUND: usize = 4;
 
@@ -65,9 +65,9 @@
 
     /// Sends the digest to a live member, drawn.
     pub(super) fn send_digest(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let every = self.tuning.digest_every;
+        let every = self.tuning.digest_interval;
         self.next_digest = now + every / 2 + self.rng.u64(0..=every);
-        if let Some(name) = self.draw_live(1).pop() {
+        if let Some(name) = self.sample_live(1).pop() {
             let body = self.digest_request();
             self.send_to(&name, body, &[self.own_record()], out);
         }
@@ -76,9 +76,9 @@
     /// Compares another's digest with this node's, and puts what differs in line to be sent.
     pub(super) fn handle_digest(
         &mut self, from: &Name, address: SocketAddr, sums: &[u32], answer: bool, out: &mut Vec<Action>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DatagramError> {
         if sums.len() != BUCKETS {
-            return Err(Fault::Malformed);
+            return Err(DatagramError::Malformed);
         }
         let own = self.digest_sums().clone();
         if answer {
@@ -92,7 +92,7 @@
             return Ok(());
         }
         if self.digest_replies.len() >= MAX_DIGEST_REPLIES {
-            return Err(Fault::Flood);
+            return Err(DatagramError::Flood);
         }
         self.digest_replies.retain(|reply| reply.to != *from); // the newest holds
         self.digest_replies.push_back(DigestReply { to: from.clone(), address, names });
@@ -101,7 +101,7 @@
 
     /// Sends one round of replies.
     pub(super) fn send_digest_replies(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        self.next_digest_reply = now + REPLIES_EVERY;
+        self.next_digest_reply = now + REPLY_INTERVAL;
         for _ in 0..REPLIES_PER_ROUND {
             self.send_digest_reply(out);
         }
@@ -112,7 +112,7 @@
         let Some(mut reply) = self.digest_replies.pop_front() else { return };
         let mut writer = self.begin_datagram(Some(&reply.to), Body::Gossip);
         while let Some(name) = reply.names.front() {
-            let bytes: Vec<u8> = self.records_to_reply(name).iter().flat_map(encode).collect();
+            let bytes: Vec<u8> = self.records_to_reply(name).iter().flat_map(encode_record).collect();
             if !writer.add(&bytes) {
                 break;
             }
--- a/crates/membership/src/machine/indirect.rs
+++ b/crates/membership/src/machine/indirect.rs
@@ -5,7 +5,7 @@
 use super::{Action, Membership};
 use crate::config::Nanos;
 use crate::record::Name;
-use crate::wire::{Body, Fault};
+use crate::wire::{Body, DatagramError};
 
 /// Number of the probes by which a suspect is asked before it is held dead: its refutation counts, not its answer.
 pub(super) const FINAL_PROBE: u64 = 0;
@@ -39,15 +39,15 @@
     /// Another member asks this node to probe `target`, which it sees at `address`.
     pub(super) fn handle_ask(
         &mut self, now: Nanos, origin: Origin, target: &Name, address: SocketAddr, out: &mut Vec<Action>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DatagramError> {
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
-            return Err(Fault::Flood);
+            return Err(DatagramError::Flood);
         }
         let number = self.next_probe_number();
         self.indirect_probes.push_back(IndirectProbe {
             number,
             origin,
-            nack_at: now + self.tuning.answer_within * 4 / 5,
+            nack_at: now + self.tuning.probe_timeout * 4 / 5,
             nack_sent: false,
         });
         // Where this node sees it, if it does: an address may differ by observer.
@@ -57,9 +57,9 @@
     }
 
     /// Passes an answer on to the member that asked for the probe.
-    pub(super) fn forward_ack(&mut self, number: u64, out: &mut Vec<Action>) -> Result<(), Fault> {
+    pub(super) fn forward_ack(&mut self, number: u64, out: &mut Vec<Action>) -> Result<(), DatagramError> {
         let at = self.indirect_probes.iter().position(|probe| probe.number == number);
-        let probe = at.and_then(|at| self.indirect_probes.remove(at)).ok_or(Fault::Unexpected)?;
+        let probe = at.and_then(|at| self.indirect_probes.remove(at)).ok_or(DatagramError::Unexpected)?;
         let Origin { name, address, number } = probe.origin;
         self.send(Some(&name), address, Body::Ack { probe: number }, &[], out);
         Ok(())
@@ -67,7 +67,7 @@
 
     /// Tells those who asked that there is no answer yet, and forgets the probes that are long over.
     pub(super) fn send_nacks(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let grace = self.tuning.answer_within * 2;
+        let grace = self.tuning.probe_timeout * 2;
         self.indirect_probes.retain(|probe| probe.nack_at + grace > now);
         let mut due = Vec::new();
         for probe in self.indirect_probes.iter_mut().filter(|probe| !probe.nack_sent && probe.nack_at <= now)
--- a/crates/membership/src/machine/joining.rs
+++ b/crates/membership/src/machine/joining.rs
@@ -12,11 +12,11 @@
 /// Time between tries to join while nobody else is known, at first.
 pub(super) const MIN_REJOIN_WAIT: Nanos = 250 * MS;
 /// Rounds of goodbyes.
-const FAREWELL_ROUNDS: u32 = 3;
+const LEAVE_ROUNDS: u32 = 3;
 /// Time between them.
-const FAREWELL_EVERY: Nanos = 100 * MS;
+const LEAVE_INTERVAL: Nanos = 100 * MS;
 /// Members that are told in each.
-const FAREWELL_FAN_OUT: usize = 8;
+const LEAVE_FAN_OUT: usize = 8;
 
 /// Whether this process takes part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// Looks for those who are not there: dead members and seeds.
     pub(super) fn rejoin(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let is_alone = self.live_names().is_empty();
-        let every = self.tuning.rejoin_every;
+        let every = self.tuning.rejoin_interval;
         self.rejoin_wait = if is_alone { (self.rejoin_wait * 3 / 2).min(every) } else { every };
         self.next_rejoin = now + self.rejoin_wait / 2 + self.rng.u64(0..=self.rejoin_wait);
         let mut candidates = self.missing_addresses();
@@ -66,20 +66,20 @@
     pub(super) fn leave(&mut self, now: Nanos, out: &mut Vec<Action>) {
         if self.lifecycle == Lifecycle::Active {
             self.lifecycle = Lifecycle::Leaving { rounds: 0, next_round: now };
-            self.send_farewells(now, out);
+            self.announce_leave(now, out);
         }
     }
 
     /// Tells a few members that this node leaves; stops after the last round.
-    pub(super) fn send_farewells(&mut self, now: Nanos, out: &mut Vec<Action>) {
+    pub(super) fn announce_leave(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let Lifecycle::Leaving { rounds, .. } = self.lifecycle else { return };
-        if rounds >= FAREWELL_ROUNDS {
+        if rounds >= LEAVE_ROUNDS {
             self.lifecycle = Lifecycle::Stopped;
             return;
         }
-        self.lifecycle = Lifecycle::Leaving { rounds: rounds + 1, next_round: now + FAREWELL_EVERY };
+        self.lifecycle = Lifecycle::Leaving { rounds: rounds + 1, next_round: now + LEAVE_INTERVAL };
         let record = self.own_record();
-        for name in self.draw_live(FAREWELL_FAN_OUT) {
+        for name in self.sample_live(LEAVE_FAN_OUT) {
             self.send_to(&name, Body::Gossip, std::slice::from_ref(&record), out);
         }
     }
@@ -102,8 +102,8 @@
 
     fn expired_members(&self, now: Nanos) -> Vec<Name> {
         let is_expired = |peer: &Peer| match peer.state {
-            State::Dead { since, .. } => since + self.tuning.forget_dead <= now,
-            State::Left { since } => since + self.tuning.forget_left <= now,
+            State::Dead { since, .. } => since + self.tuning.dead_retention <= now,
+            State::Left { since } => since + self.tuning.left_retention <= now,
             _ => false,
         };
         self.peers.iter().filter(|(_, peer)| is_expired(peer)).map(|(name, _)| name.clone()).collect()
--- a/crates/membership/src/machine/merging.rs
+++ b/crates/membership/src/machine/merging.rs
@@ -6,7 +6,7 @@
 use crate::peer::{Peer, State};
 use crate::record::{Name, Profile, Record, Status};
 use crate::view::Change;
-use crate::wire::{Fault, Window};
+use crate::wire::{DatagramError, ReplayWindow};
 
 /// Whether the record is about what is held: the same start with the same incarnation.
 fn is_same_claim(peer: &Peer, record: &Record) -> bool {
@@ -14,9 +14,9 @@
 }
 
 /// Whether an accusation by this record is heard.
-fn is_accusable(peer: &Peer, record: &Record, now: Nanos) -> bool {
+fn accepts_accusation(peer: &Peer, record: &Record, now: Nanos) -> bool {
     let is_newer = record.incarnation > peer.incarnation;
-    (is_newer || is_same_claim(peer, record) && peer.is_live()) && !peer.is_calm(now)
+    (is_newer || is_same_claim(peer, record) && peer.is_live()) && !peer.is_immune(now)
 }
 
 impl Membership {
@@ -46,13 +46,13 @@
         let Some(peer) = self.peers.get_mut(&record.name) else {
             return self.add_member(record, profile, out);
         };
-        if record.weight() <= peer.weight() {
+        if record.precedence() <= peer.precedence() {
             return;
         }
         let was = peer.state.name();
         if record.run != peer.run {
-            peer.window = Window::default();
-            peer.heard = None;
+            peer.replay_window = ReplayWindow::default();
+            peer.last_heard = None;
         }
         (peer.incarnation, peer.run) = (record.incarnation, record.run);
         peer.profile = profile.clone();
@@ -62,7 +62,7 @@
             return;
         }
         peer.state = State::Alive;
-        peer.refuted(now);
+        peer.record_refutation(now);
         self.suspects.remove(&record.name);
         self.announce(record, Some(was), "alive", out);
     }
@@ -70,7 +70,7 @@
     /// Takes a new member in, and probes it at a drawn place of this round.
     fn add_member(&mut self, record: &Record, profile: &Profile, out: &mut Vec<Action>) {
         if self.peers.len() + 1 >= MAX_MEMBERS {
-            self.count_fault(Fault::Full);
+            self.count_dropped(DatagramError::Full);
             return;
         }
         let peer = Peer::new(profile.clone(), record.incarnation, record.run);
@@ -82,14 +82,14 @@
 
     fn merge_suspect(&mut self, now: Nanos, record: &Record, by: &Name, out: &mut Vec<Action>) {
         let Some(peer) = self.peers.get(&record.name) else { return };
-        if is_accusable(peer, record, now) {
+        if accepts_accusation(peer, record, now) {
             self.accuse(now, record, by.clone(), out);
         }
     }
 
     fn merge_dead(&mut self, now: Nanos, record: &Record, from: Option<&Name>, out: &mut Vec<Action>) {
         let Some(peer) = self.peers.get_mut(&record.name) else { return };
-        if !is_accusable(peer, record, now) {
+        if !accepts_accusation(peer, record, now) {
             return;
         }
         let is_suspect = matches!(peer.state, State::Suspect { .. });
@@ -101,7 +101,7 @@
             return;
         }
         let was = peer.state.name();
-        peer.state = State::Dead { since: now, sure: self.majority };
+        peer.state = State::Dead { since: now, had_majority: self.majority };
         self.suspects.remove(&record.name);
         self.announce(record, Some(was), "dead", out);
     }
--- a/crates/membership/src/machine/mod.rs
+++ b/crates/membership/src/machine/mod.rs
@@ -22,7 +22,7 @@
 use crate::peer::Peer;
 use crate::record::Name;
 use crate::view::Counts;
-use crate::wire::{Body, Fault};
+use crate::wire::{Body, DatagramError};
 
 pub use event::{Action, Event};
 
@@ -32,13 +32,13 @@
 use probing::Probe;
 
 /// A timer that fires this late tells a node that its process was held up.
-pub const HELD_UP: Nanos = 100 * MS;
+pub const STALL_THRESHOLD: Nanos = 100 * MS;
 /// Limit of the local health score, by which timeouts are multiplied beside the once.
 const MAX_LOCAL_HEALTH: u64 = 8;
 /// What a process that was held up adds to its local health score.
-const HELD_UP_PENALTY: u64 = 2;
+const STALL_PENALTY: u64 = 2;
 /// Time between sweeps over members that may be forgotten.
-const SWEEP_EVERY: Nanos = 1_000 * MS;
+const SWEEP_INTERVAL: Nanos = 1_000 * MS;
 
 /// One node's part. See the crate's documentation for an example.
 #[derive(Clone, Debug)]
@@ -104,8 +104,8 @@
     pub fn new(me: Identity, tuning: Tuning, seed: u64, now: Nanos) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         // Nodes that start together do not go on in step.
-        let next_probe = now + rng.u64(0..=tuning.probe_every);
-        let next_digest = now + rng.u64(0..=tuning.digest_every);
+        let next_probe = now + rng.u64(0..=tuning.probe_interval);
+        let next_digest = now + rng.u64(0..=tuning.digest_interval);
         Membership {
             cluster: me.cluster_number(),
             me,
@@ -131,7 +131,7 @@
             next_digest_reply: now,
             next_rejoin: now,
             rejoin_wait: MIN_REJOIN_WAIT,
-            next_sweep: now + SWEEP_EVERY,
+            next_sweep: now + SWEEP_INTERVAL,
             probe_results: VecDeque::new(),
             majority: true,
             last_heard: now,
@@ -147,7 +147,7 @@
     }
 
     /// When it wants to be told that time has passed; none: never again.
-    pub fn due(&self) -> Option<Nanos> {
+    pub fn next_deadline(&self) -> Option<Nanos> {
         match self.lifecycle {
             Lifecycle::Stopped => return None,
             Lifecycle::Leaving { next_round, .. } => return Some(next_round),
@@ -171,13 +171,13 @@
             return;
         }
         let late = self.expected_tick.map_or(0, |due| now.saturating_sub(due));
-        if late > HELD_UP {
+        if late > STALL_THRESHOLD {
             self.resume_after_stall(now, late);
         }
         match event {
             Event::Datagram { from, bytes } => {
                 if let Err(fault) = self.receive(now, from, bytes, out) {
-                    self.count_fault(fault);
+                    self.count_dropped(fault);
                 }
             }
             Event::Tick => self.tick(now, out),
@@ -185,26 +185,26 @@
         }
         self.update_majority(out);
         // What has become due by an event is not late because of the time before it.
-        self.expected_tick = self.due().map(|due| due.max(now));
+        self.expected_tick = self.next_deadline().map(|due| due.max(now));
     }
 
     /// This process did nothing for that long: what did not come meanwhile says nothing about others.
     fn resume_after_stall(&mut self, now: Nanos, late: Nanos) {
-        self.counts.held_up += 1;
-        self.raise_local_health(HELD_UP_PENALTY);
+        self.counts.stalls += 1;
+        self.raise_local_health(STALL_PENALTY);
         self.probe = None;
         self.indirect_probes.clear();
         self.probe_results.clear();
         self.last_heard = now;
         self.isolated = false;
-        self.next_probe = now + self.tuning.probe_every;
+        self.next_probe = now + self.tuning.probe_interval;
         self.postpone_suspicions(late);
     }
 
     fn tick(&mut self, now: Nanos, out: &mut Vec<Action>) {
         if let Lifecycle::Leaving { next_round, .. } = self.lifecycle {
             if next_round <= now {
-                self.send_farewells(now, out);
+                self.announce_leave(now, out);
             }
             return;
         }
@@ -224,21 +224,21 @@
             self.rejoin(now, out);
         }
         if self.next_sweep <= now {
-            self.next_sweep = now + SWEEP_EVERY;
+            self.next_sweep = now + SWEEP_INTERVAL;
             self.forget_expired(now, out);
         }
     }
 
     /// Sends what is to be told to a few members, drawn.
     fn gossip(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        self.next_gossip = now + self.tuning.gossip_every;
-        for name in self.draw_live(self.tuning.fan_out) {
+        self.next_gossip = now + self.tuning.gossip_interval;
+        for name in self.sample_live(self.tuning.fan_out) {
             self.send_to(&name, Body::Gossip, &[], out);
         }
     }
 
-    fn count_fault(&mut self, fault: Fault) {
-        *self.counts.faults.entry(fault).or_default() += 1;
+    fn count_dropped(&mut self, fault: DatagramError) {
+        *self.counts.dropped.entry(fault).or_default() += 1;
     }
 
     /// Notes a sign that this node itself is slow.
--- a/crates/membership/src/machine/probing.rs
+++ b/crates/membership/src/machine/probing.rs
@@ -7,7 +7,7 @@
 use crate::config::{Nanos, MS};
 use crate::peer::{Peer, State};
 use crate::record::{Name, Record, Status};
-use crate::wire::{Body, Fault};
+use crate::wire::{Body, DatagramError};
 
 /// Attempts of a probe: the first alone, the others with helpers.
 const PROBE_ATTEMPTS: u8 = 3;
@@ -56,7 +56,7 @@
     }
 
     fn begin_probe(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        self.next_probe = now + self.tuning.probe_every;
+        self.next_probe = now + self.tuning.probe_interval;
         let Some((target, in_turn)) = self.next_target() else { return };
         let mut probe = Probe {
             number: self.next_probe_number(),
@@ -112,13 +112,13 @@
 
     fn attempt_probe(&mut self, now: Nanos, probe: &mut Probe, out: &mut Vec<Action>) {
         probe.attempts += 1;
-        probe.next_step = now + self.tuning.answer_within * self.health_multiplier();
+        probe.next_step = now + self.tuning.probe_timeout * self.health_multiplier();
         self.send_to(&probe.target, Body::Ping { probe: probe.number }, &[], out);
         if probe.attempts == 1 {
             return;
         }
         let Some(address) = self.peers.get(&probe.target).map(|peer| peer.profile.address) else { return };
-        for helper in self.draw_helpers(probe) {
+        for helper in self.choose_helpers(probe) {
             let body = Body::Ask { probe: probe.number, target: probe.target.clone(), address };
             self.send_to(&helper, body, &[], out);
             probe.helpers.insert(helper);
@@ -126,7 +126,7 @@
     }
 
     /// Members to ask for a probe that does not go through: of other zones first, each zone once before any twice.
-    fn draw_helpers(&mut self, probe: &Probe) -> Vec<Name> {
+    fn choose_helpers(&mut self, probe: &Probe) -> Vec<Name> {
         let mut able: Vec<Name> = self.live_names().to_vec();
         able.retain(|name| {
             *name != probe.target && !probe.helpers.contains(name) && !self.suspects.contains(name)
@@ -159,14 +159,14 @@
         let status = Status::Suspect { by: self.me.name.clone() };
         let record =
             Record { name: probe.target.clone(), incarnation: peer.incarnation, run: peer.run, status };
-        self.counts.accused += 1;
+        self.counts.accusations += 1;
         self.merge(now, &record, None, out);
     }
 
     /// An answer to a probe: to this node's own, or to one that it makes for another.
     pub(super) fn handle_ack(
         &mut self, now: Nanos, from: &Name, number: u64, out: &mut Vec<Action>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DatagramError> {
         if number == FINAL_PROBE {
             return Ok(());
         }
@@ -186,11 +186,11 @@
         self.local_health = self.local_health.saturating_sub(1);
         self.note_probe_result(probe, true);
         let Some(peer) = self.peers.get_mut(&probe.target) else { return };
-        if !matches!(peer.state, State::Dead { sure: false, .. }) {
+        if !matches!(peer.state, State::Dead { had_majority: false, .. }) {
             return;
         }
         peer.state = State::Alive;
-        peer.refuted(now);
+        peer.record_refutation(now);
         let status = Status::Alive(peer.profile.clone());
         let record =
             Record { name: probe.target.clone(), incarnation: peer.incarnation, run: peer.run, status };
@@ -198,9 +198,9 @@
     }
 
     /// A helper says that it has asked and heard nothing so far.
-    pub(super) fn handle_nack(&mut self, from: &Name, number: u64) -> Result<(), Fault> {
+    pub(super) fn handle_nack(&mut self, from: &Name, number: u64) -> Result<(), DatagramError> {
         let own = self.probe.as_mut().filter(|probe| probe.number == number);
-        let asked = own.filter(|probe| probe.helpers.contains(from)).ok_or(Fault::Unexpected)?;
+        let asked = own.filter(|probe| probe.helpers.contains(from)).ok_or(DatagramError::Unexpected)?;
         asked.helper_answered = true;
         Ok(())
     }
--- a/crates/membership/src/machine/queries.rs
+++ b/crates/membership/src/machine/queries.rs
@@ -6,7 +6,7 @@
 use super::Membership;
 use crate::config::{Nanos, MS};
 use crate::peer::State;
-use crate::view::{Confidence, Counts, Member};
+use crate::view::{Counts, Member, ViewSummary};
 
 /// Time within which a member was heard to count as heard.
 const HEARD_WITHIN: Nanos = 5_000 * MS;
@@ -26,7 +26,7 @@
             profile: peer.profile.clone(),
             incarnation: peer.incarnation,
             state: peer.state.name(),
-            silent_for: peer.heard.map(|at| now.saturating_sub(at)),
+            silent_for: peer.last_heard.map(|at| now.saturating_sub(at)),
         });
         let mut all: Vec<Member> = others.chain([own]).collect();
         all.sort_by(|a, b| a.name.cmp(&b.name));
@@ -34,8 +34,8 @@
     }
 
     /// How sure the view is.
-    pub fn confidence(&self, now: Nanos) -> Confidence {
-        let mut confidence = Confidence::of(&self.me.profile, self.peers.iter(), now, HEARD_WITHIN);
+    pub fn summary(&self, now: Nanos) -> ViewSummary {
+        let mut confidence = ViewSummary::of(&self.me.profile, self.peers.iter(), now, HEARD_WITHIN);
         confidence.majority = self.majority;
         confidence
     }
@@ -49,7 +49,7 @@
     }
 
     fn own_state(&self) -> &'static str {
-        if self.takes_part() {
+        if self.is_active() {
             "alive"
         } else {
             "left"
@@ -57,17 +57,17 @@
     }
 
     /// Whether this node hears more than half of what should be there.
-    pub fn majority(&self) -> bool {
+    pub fn has_majority(&self) -> bool {
         self.majority
     }
 
     /// Members that are alive, this node among them.
-    pub fn alive(&self) -> usize {
+    pub fn alive_count(&self) -> usize {
         1 + self.peers.values().filter(|peer| peer.state == State::Alive).count()
     }
 
     /// Whether this process takes part: it has neither left nor stood down.
-    pub fn takes_part(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.lifecycle == Lifecycle::Active
     }
 
--- a/crates/membership/src/machine/receiving.rs
+++ b/crates/membership/src/machine/receiving.rs
@@ -7,7 +7,7 @@
 use super::{Action, Membership};
 use crate::config::{Nanos, MS};
 use crate::record::{Name, Record};
-use crate::wire::{read, Body, Envelope, Fault};
+use crate::wire::{decode_datagram, Body, DatagramError, Envelope};
 
 /// Time that one datagram stands for: 2,000 a second are read.
 const FLOOD_INTERVAL: Nanos = MS / 2;
@@ -17,11 +17,11 @@
 impl Membership {
     pub(super) fn receive(
         &mut self, now: Nanos, address: SocketAddr, bytes: &[u8], out: &mut Vec<Action>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DatagramError> {
         self.limit_rate(now)?;
-        let (envelope, records) = read(self.cluster, bytes)?;
+        let (envelope, records) = decode_datagram(self.cluster, bytes)?;
         self.check_envelope(now, &envelope)?;
-        self.counts.heard += 1;
+        self.counts.accepted += 1;
         self.last_heard = now;
         self.isolated = false;
         self.sender_missed_refutation = false;
@@ -38,36 +38,36 @@
         Ok(())
     }
 
-    fn limit_rate(&mut self, now: Nanos) -> Result<(), Fault> {
+    fn limit_rate(&mut self, now: Nanos) -> Result<(), DatagramError> {
         self.theoretical_arrival = self.theoretical_arrival.max(now);
         if self.theoretical_arrival > now + FLOOD_BURST {
-            return Err(Fault::Flood);
+            return Err(DatagramError::Flood);
         }
         self.theoretical_arrival += FLOOD_INTERVAL;
         Ok(())
     }
 
     /// Whether it is for this node, from another, and new.
-    fn check_envelope(&mut self, now: Nanos, envelope: &Envelope) -> Result<(), Fault> {
+    fn check_envelope(&mut self, now: Nanos, envelope: &Envelope) -> Result<(), DatagramError> {
         if envelope.from == self.me.name && envelope.run == self.me.run {
-            return Err(Fault::Own);
+            return Err(DatagramError::Own);
         }
         if envelope.to.as_ref().is_some_and(|to| *to != self.me.name) {
-            return Err(Fault::Misdirected);
+            return Err(DatagramError::Misdirected);
         }
         // Of another start than the one that is known nothing can be said; what it tells is merged as ever.
         if let Some(peer) = self.peers.get_mut(&envelope.from).filter(|peer| peer.run == envelope.run) {
-            if !peer.window.take(envelope.counter) {
-                return Err(Fault::Replayed);
+            if !peer.replay_window.accept(envelope.counter) {
+                return Err(DatagramError::Replayed);
             }
-            peer.heard = Some(now);
+            peer.last_heard = Some(now);
         }
         Ok(())
     }
 
     fn handle_body(
         &mut self, now: Nanos, sender: &Name, address: SocketAddr, body: Body, out: &mut Vec<Action>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DatagramError> {
         match body {
             Body::Ping { probe } => self.handle_ping(sender, address, probe, out),
             Body::Ack { probe } => self.handle_ack(now, sender, probe, out)?,
--- a/crates/membership/src/machine/sending.rs
+++ b/crates/membership/src/machine/sending.rs
@@ -6,7 +6,7 @@
 use super::{Action, Membership};
 use crate::peer::State;
 use crate::record::{Name, Record, Status};
-use crate::wire::{encode, Body, Envelope, Writer};
+use crate::wire::{encode_record, Body, DatagramWriter, Envelope};
 
 impl Membership {
     /// Names of the members that take part, without this node's.
@@ -17,7 +17,7 @@
     }
 
     /// So many live members, drawn.
-    pub(super) fn draw_live(&mut self, count: usize) -> Vec<Name> {
+    pub(super) fn sample_live(&mut self, count: usize) -> Vec<Name> {
         let live = self.live_names();
         let mut drawn: Vec<Name> = Vec::with_capacity(count);
         // Draws that meet the same twice are rare and bounded.
@@ -34,9 +34,9 @@
     }
 
     /// Begins a datagram to a member, or to whoever is at an address.
-    pub(super) fn begin_datagram(&mut self, to: Option<&Name>, body: Body) -> Writer {
+    pub(super) fn begin_datagram(&mut self, to: Option<&Name>, body: Body) -> DatagramWriter {
         self.counter += 1;
-        Writer::new(&Envelope {
+        DatagramWriter::new(&Envelope {
             cluster: self.cluster,
             from: self.me.name.clone(),
             run: self.me.run,
@@ -47,7 +47,9 @@
     }
 
     /// Fills the datagram with broadcasts and sends it.
-    pub(super) fn finish_datagram(&mut self, to: SocketAddr, mut writer: Writer, out: &mut Vec<Action>) {
+    pub(super) fn finish_datagram(
+        &mut self, to: SocketAddr, mut writer: DatagramWriter, out: &mut Vec<Action>,
+    ) {
         // Told as often as it takes for all to hear: twice the rounds in which one tells another.
         let max_transmissions = 2 * (usize::BITS - (self.peers.len() + 1).leading_zeros());
         self.broadcasts.fill(&mut writer, max_transmissions);
@@ -72,7 +74,7 @@
         let accusations = name.map_or_else(Vec::new, |name| self.accusations(name));
         let mut writer = self.begin_datagram(name, body);
         for record in accusations.iter().chain(records) {
-            writer.add(&encode(record)); // these few always fit
+            writer.add(&encode_record(record)); // these few always fit
         }
         self.finish_datagram(address, writer, out);
     }
--- a/crates/membership/src/machine/suspicion.rs
+++ b/crates/membership/src/machine/suspicion.rs
@@ -19,8 +19,8 @@
 
 impl Membership {
     /// Accusers beside the first that shorten the time to refute.
-    fn wanted_accusers(&self) -> usize {
-        self.tuning.accusers.min(self.peers.len().saturating_sub(2))
+    fn wanted_confirmations(&self) -> usize {
+        self.tuning.confirmations.min(self.peers.len().saturating_sub(2))
     }
 
     fn suspicion_deadline(&self, peer: &Peer, wanted_accusers: usize) -> Option<Nanos> {
@@ -29,7 +29,7 @@
 
     /// When the first suspect's time to refute is over.
     pub(super) fn first_suspicion_deadline(&self) -> Option<Nanos> {
-        let wanted = self.wanted_accusers();
+        let wanted = self.wanted_confirmations();
         let deadline =
             |name| self.peers.get(name).and_then(|peer: &Peer| self.suspicion_deadline(peer, wanted));
         self.suspects.iter().filter_map(deadline).min()
@@ -39,14 +39,14 @@
     pub(super) fn postpone_suspicions(&mut self, by: Nanos) {
         for name in &self.suspects {
             if let Some(peer) = self.peers.get_mut(name) {
-                peer.shift(by);
+                peer.postpone_suspicion(by);
             }
         }
     }
 
     /// Holds an accusation of a member by `by`, and tells others of it.
     pub(super) fn accuse(&mut self, now: Nanos, record: &Record, by: Name, out: &mut Vec<Action>) {
-        let wanted = self.wanted_accusers();
+        let wanted = self.wanted_confirmations();
         let live = self.live_names().len();
         let Some(peer) = self.peers.get_mut(&record.name) else { return };
         let was = peer.state.name();
@@ -61,7 +61,7 @@
         }
         peer.state = State::Suspect { since: now, accusers: vec![by.clone()], final_probe: None };
         self.suspects.insert(record.name.clone());
-        self.maybe_check(now, &record.name, &by, live);
+        self.maybe_schedule_check(now, &record.name, &by, live);
         let change = Change::Member { name: record.name.clone(), was: Some(was), is: "suspect" };
         out.push(Action::Changed(change));
         self.invalidate_caches();
@@ -69,8 +69,8 @@
     }
 
     /// Some of those who hear of an accusation look for themselves, which is what confirms a death soon.
-    fn maybe_check(&mut self, now: Nanos, suspect: &Name, by: &Name, live: usize) {
-        let is_checker = *by != self.me.name && self.rng.usize(0..live.max(1)) < self.tuning.checkers;
+    fn maybe_schedule_check(&mut self, now: Nanos, suspect: &Name, by: &Name, live: usize) {
+        let is_checker = *by != self.me.name && self.rng.usize(0..live.max(1)) < self.tuning.mean_checkers;
         if is_checker && self.checks.len() < MAX_CHECKS {
             self.checks.push_back(suspect.clone());
             self.next_probe = self.next_probe.min(now);
@@ -87,14 +87,14 @@
     /// Asks suspects whose time is over a last few times, and holds them dead then.
     pub(super) fn expire_suspicions(&mut self, now: Nanos, out: &mut Vec<Action>) {
         for name in self.expired_suspects(now) {
-            if !self.ask_finally(now, &name, out) {
+            if !self.send_final_probe(now, &name, out) {
                 self.declare_dead(now, name, out);
             }
         }
     }
 
     fn expired_suspects(&self, now: Nanos) -> Vec<Name> {
-        let wanted = self.wanted_accusers();
+        let wanted = self.wanted_confirmations();
         let is_expired = |name: &&Name| {
             let peer = self.peers.get(*name);
             let deadline = peer.and_then(|peer| self.suspicion_deadline(peer, wanted));
@@ -105,8 +105,8 @@
 
     /// Probes a suspect itself, whose refutation may be what did not come here: whoever is probed with an accusation
     /// that it has refuted answers with what holds. False if it was asked often enough.
-    fn ask_finally(&mut self, now: Nanos, name: &Name, out: &mut Vec<Action>) -> bool {
-        let until = now + self.tuning.answer_within * self.health_multiplier();
+    fn send_final_probe(&mut self, now: Nanos, name: &Name, out: &mut Vec<Action>) -> bool {
+        let until = now + self.tuning.probe_timeout * self.health_multiplier();
         let Some(peer) = self.peers.get_mut(name) else { return false };
         let State::Suspect { final_probe, .. } = &mut peer.state else { return false };
         let (asked, _) = final_probe.unwrap_or((0, now));
@@ -121,7 +121,7 @@
     fn declare_dead(&mut self, now: Nanos, name: Name, out: &mut Vec<Action>) {
         let Some(peer) = self.peers.get_mut(&name) else { return };
         self.suspects.remove(&name);
-        peer.state = State::Dead { since: now, sure: self.majority };
+        peer.state = State::Dead { since: now, had_majority: self.majority };
         let record = Record { name, incarnation: peer.incarnation, run: peer.run, status: Status::Dead };
         self.announce(&record, Some("suspect"), "dead", out);
     }
@@ -133,13 +133,15 @@
         }
         let is_other_start = record.run != self.me.run;
         match &record.status {
-            Status::Alive(_) if !is_other_start || record.weight() <= self.own_record().weight() => return,
+            Status::Alive(_) if !is_other_start || record.precedence() <= self.own_record().precedence() => {
+                return
+            }
             Status::Alive(_) => {
                 // One start of this node before it, or another process with its name. Only a living one goes on
                 // answering with ever greater numbers.
                 self.name_conflicts += 1;
                 if self.name_conflicts >= MAX_NAME_CONFLICTS && record.run > self.me.run {
-                    self.stand_down(out);
+                    self.give_up_name(out);
                     return;
                 }
             }
@@ -149,7 +151,7 @@
             }
             Status::Suspect { .. } | Status::Dead if !is_other_start => {
                 self.raise_local_health(1);
-                self.counts.refuted += 1;
+                self.counts.refutations += 1;
             }
             _ => {}
         }
@@ -165,9 +167,9 @@
     }
 
     /// Leaves the name to the later process that has it.
-    fn stand_down(&mut self, out: &mut Vec<Action>) {
+    fn give_up_name(&mut self, out: &mut Vec<Action>) {
         self.lifecycle = Lifecycle::Stopped;
         self.broadcasts = BroadcastQueue::default();
-        out.push(Action::Changed(Change::StoodDown));
+        out.push(Action::Changed(Change::Superseded));
     }
 }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Nanos, Tuning, MS};
 use crate::record::{Name, Profile, Record, Status};
-use crate::wire::Window;
+use crate::wire::ReplayWindow;
 
 const MIN_CALM: Nanos = 1_000 * MS; // after a first refutation
 const MAX_CALM: Nanos = 16_000 * MS;
@@ -29,7 +29,7 @@
         since: Nanos,
         /// Whether this node heard a majority then. If not, it may be the one that is cut off, and any word that the
         /// member lives holds against it.
-        sure: bool,
+        had_majority: bool,
     },
     /// It said that it leaves.
     Left {
@@ -62,12 +62,12 @@
     /// Where it stands.
     pub state: State,
     /// When it was last heard itself.
-    pub heard: Option<Nanos>,
+    pub last_heard: Option<Nanos>,
     /// Which of its datagrams have come.
-    pub window: Window,
-    calm_until: Nanos,
+    pub replay_window: ReplayWindow,
+    immune_until: Nanos,
     flaps: u32,
-    flapped: Nanos,
+    last_flap: Nanos,
 }
 
 impl Peer {
@@ -78,11 +78,11 @@
             incarnation,
             run,
             state: State::Alive,
-            heard: None,
-            window: Window::default(),
-            calm_until: 0,
+            last_heard: None,
+            replay_window: ReplayWindow::default(),
+            immune_until: 0,
             flaps: 0,
-            flapped: 0,
+            last_flap: 0,
         }
     }
 
@@ -92,11 +92,11 @@
     }
 
     /// As merging weighs it.
-    pub fn weight(&self) -> (u64, u8, u64) {
+    pub fn precedence(&self) -> (u64, u8, u64) {
         let rank = match self.state {
             State::Alive => 0,
             State::Suspect { .. } => 1,
-            State::Dead { sure: false, .. } => return (self.incarnation, 0, 0),
+            State::Dead { had_majority: false, .. } => return (self.incarnation, 0, 0),
             State::Dead { .. } => 2,
             State::Left { .. } => 3,
         };
@@ -127,27 +127,27 @@
         }
         let further = accusers.len().saturating_sub(1) as f64;
         let share = if wanted == 0 { 1.0 } else { (further + 1.0).ln() / (wanted as f64 + 1.0).ln() };
-        let (least, most) = (tuning.refute_least as f64, tuning.refute_most as f64);
+        let (least, most) = (tuning.min_suspicion_time as f64, tuning.max_suspicion_time as f64);
         let time = (most - (most - least) * share).max(least) as Nanos;
         Some(since.saturating_add(time.saturating_mul(slow)))
     }
 
     /// Whether it has refuted so recently that accusations are not heard.
-    pub fn is_calm(&self, now: Nanos) -> bool {
-        now < self.calm_until
+    pub fn is_immune(&self, now: Nanos) -> bool {
+        now < self.immune_until
     }
 
     /// It has refuted an accusation, or come back from the dead.
-    pub fn refuted(&mut self, now: Nanos) {
-        let faded = now.saturating_sub(self.flapped) / FLAP_HALF_LIFE;
+    pub fn record_refutation(&mut self, now: Nanos) {
+        let faded = now.saturating_sub(self.last_flap) / FLAP_HALF_LIFE;
         self.flaps = self.flaps.saturating_sub(faded.min(u64::from(MAX_FLAPS)) as u32).min(MAX_FLAPS);
         let calm = (MIN_CALM << self.flaps).min(MAX_CALM);
-        self.calm_until = now.saturating_add(calm);
-        (self.flaps, self.flapped) = (self.flaps + 1, now);
+        self.immune_until = now.saturating_add(calm);
+        (self.flaps, self.last_flap) = (self.flaps + 1, now);
     }
 
     /// Moves what is pending by a time in which this node did nothing.
-    pub fn shift(&mut self, by: Nanos) {
+    pub fn postpone_suspicion(&mut self, by: Nanos) {
         if let State::Suspect { since, final_probe, .. } = &mut self.state {
             *since = since.saturating_add(by);
             if let Some((_, until)) = final_probe {
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -9,7 +9,7 @@
 pub type Name = Arc<str>;
 
 /// Bytes of a name, zone, machine or version at most.
-pub const MAX_WORD: usize = 64;
+pub const MAX_TEXT_BYTES: usize = 64;
 
 /// Number of a member at most: it rises by one with each contradiction, so no honest one ever comes near.
 pub const MAX_INCARNATION: u64 = 1 << 48;
@@ -72,13 +72,13 @@
 
 impl Record {
     /// What holds is the greatest: a total order, so records can be merged in any order and any number of times.
-    pub fn weight(&self) -> (u64, u8, u64) {
+    pub fn precedence(&self) -> (u64, u8, u64) {
         (self.incarnation, self.status.rank(), self.run)
     }
 
     /// Whether no word in it is longer than allowed, and no number so high that its member could not contradict it.
-    pub fn is_proper(&self) -> bool {
-        let fits = |word: &Name| !word.is_empty() && word.len() <= MAX_WORD;
+    pub fn is_valid(&self) -> bool {
+        let fits = |word: &Name| !word.is_empty() && word.len() <= MAX_TEXT_BYTES;
         self.incarnation < MAX_INCARNATION
             && fits(&self.name)
             && match &self.status {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -23,7 +23,7 @@
 
 /// One zone in the view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ZoneView {
+pub struct ZoneCounts {
     /// Members that are alive.
     pub alive: usize,
     /// Members that are accused.
@@ -31,14 +31,14 @@
     /// Members that are dead.
     pub dead: usize,
     /// Members heard themselves in the last 5 s.
-    pub heard: usize,
+    pub recently_heard: usize,
 }
 
 /// How much of the fleet this node hears. Another node's may differ at any time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Confidence {
+pub struct ViewSummary {
     /// By zone.
-    pub zones: BTreeMap<Name, ZoneView>,
+    pub zones: BTreeMap<Name, ZoneCounts>,
     /// Members that are there, this node among them.
     pub alive: usize,
     /// All that should be: those that left are not counted.
@@ -47,11 +47,11 @@
     pub majority: bool,
 }
 
-impl Confidence {
+impl ViewSummary {
     pub(crate) fn of<'a>(
         me: &Profile, peers: impl Iterator<Item = (&'a Name, &'a Peer)>, now: Nanos, window: Nanos,
     ) -> Self {
-        let mut of = Confidence { alive: 1, known: 1, ..Confidence::default() };
+        let mut of = ViewSummary { alive: 1, known: 1, ..ViewSummary::default() };
         of.zones.entry(me.zone.clone()).or_default().alive += 1;
         for (_, peer) in peers {
             if matches!(peer.state, State::Left { .. }) {
@@ -65,7 +65,8 @@
             }
             of.known += 1;
             of.alive += usize::from(peer.state == State::Alive);
-            zone.heard += usize::from(peer.heard.is_some_and(|at| now.saturating_sub(at) <= window));
+            zone.recently_heard +=
+                usize::from(peer.last_heard.is_some_and(|at| now.saturating_sub(at) <= window));
         }
         of.majority = 2 * of.alive > of.known;
         of
@@ -87,7 +88,7 @@
     /// Whether this node hears more than half of the fleet.
     Majority(bool),
     /// Another process has this name and keeps it: this one is out of the fleet.
-    StoodDown,
+    Superseded,
 }
 
 /// What has been sent and heard since the start.
@@ -98,13 +99,13 @@
     /// Their bytes.
     pub sent_bytes: u64,
     /// Datagrams that had an effect.
-    pub heard: u64,
+    pub accepted: u64,
     /// Datagrams that had none, by reason.
-    pub faults: BTreeMap<crate::wire::Fault, u64>,
+    pub dropped: BTreeMap<crate::wire::DatagramError, u64>,
     /// Times that this node accused another.
-    pub accused: u64,
+    pub accusations: u64,
     /// Times that this node contradicted what was told of it.
-    pub refuted: u64,
+    pub refutations: u64,
     /// Times that this node found itself held up.
-    pub held_up: u64,
+    pub stalls: u64,
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::record::{Name, Record, MAX_WORD};
+use crate::record::{Name, Record, MAX_TEXT_BYTES};
 
 /// Bytes of a datagram at most: fits any path without fragments.
 pub const MAX_DATAGRAM: usize = 1_200;
 /// Version of the form.
-pub const VERSION: u8 = 1;
+pub const PROTOCOL_VERSION: u8 = 1;
 const MARK: [u8; 2] = *b"mf";
 const HEADER: usize = 7; // mark, version, checksum
 
@@ -73,7 +73,7 @@
 
 /// Why a datagram has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
+pub enum DatagramError {
     /// Cut short, or not of this form at all.
     Malformed,
     /// Longer than any that this program sends.
@@ -98,52 +98,52 @@
     Full,
 }
 
-impl Fault {
+impl DatagramError {
     /// Every one, in order.
-    pub const ALL: [Fault; 11] = [
-        Fault::Malformed,
-        Fault::Long,
-        Fault::Checksum,
-        Fault::Version,
-        Fault::Foreign,
-        Fault::Own,
-        Fault::Misdirected,
-        Fault::Replayed,
-        Fault::Flood,
-        Fault::Unexpected,
-        Fault::Full,
+    pub const ALL: [DatagramError; 11] = [
+        DatagramError::Malformed,
+        DatagramError::Long,
+        DatagramError::Checksum,
+        DatagramError::Version,
+        DatagramError::Foreign,
+        DatagramError::Own,
+        DatagramError::Misdirected,
+        DatagramError::Replayed,
+        DatagramError::Flood,
+        DatagramError::Unexpected,
+        DatagramError::Full,
     ];
 
     /// As figures and logs name it.
     pub fn name(self) -> &'static str {
         match self {
-            Fault::Malformed => "malformed",
-            Fault::Long => "long",
-            Fault::Checksum => "checksum",
-            Fault::Version => "version",
-            Fault::Foreign => "foreign",
-            Fault::Own => "own",
-            Fault::Misdirected => "misdirected",
-            Fault::Replayed => "replayed",
-            Fault::Flood => "flood",
-            Fault::Unexpected => "unexpected",
-            Fault::Full => "full",
+            DatagramError::Malformed => "malformed",
+            DatagramError::Long => "long",
+            DatagramError::Checksum => "checksum",
+            DatagramError::Version => "version",
+            DatagramError::Foreign => "foreign",
+            DatagramError::Own => "own",
+            DatagramError::Misdirected => "misdirected",
+            DatagramError::Replayed => "replayed",
+            DatagramError::Flood => "flood",
+            DatagramError::Unexpected => "unexpected",
+            DatagramError::Full => "full",
         }
     }
 }
 
 /// A datagram in the making: an envelope, and records while there is room.
-pub struct Writer(Vec<u8>);
+pub struct DatagramWriter(Vec<u8>);
 
-impl Writer {
+impl DatagramWriter {
     /// Begins with the envelope.
     pub fn new(envelope: &Envelope) -> Self {
         let mut bytes = Vec::with_capacity(MAX_DATAGRAM);
         bytes.extend(MARK);
-        bytes.push(VERSION);
+        bytes.push(PROTOCOL_VERSION);
         bytes.extend([0; 4]);
         // Writing into memory can fail only for lack of it.
-        Writer(postcard::to_extend(envelope, bytes).unwrap_or_default())
+        DatagramWriter(postcard::to_extend(envelope, bytes).unwrap_or_default())
     }
 
     /// Adds an encoded record; false if there is no room for it.
@@ -165,38 +165,39 @@
 }
 
 /// A record as it travels.
-pub fn encode(record: &Record) -> Vec<u8> {
+pub fn encode_record(record: &Record) -> Vec<u8> {
     postcard::to_stdvec(record).unwrap_or_default()
 }
 
 /// Reads a datagram for this fleet. Nothing of it is believed unless all of it can be read.
-pub fn read(cluster: u64, bytes: &[u8]) -> Result<(Envelope, Vec<Record>), Fault> {
+pub fn decode_datagram(cluster: u64, bytes: &[u8]) -> Result<(Envelope, Vec<Record>), DatagramError> {
     if bytes.len() > MAX_DATAGRAM {
-        return Err(Fault::Long);
+        return Err(DatagramError::Long);
     }
-    let (header, rest) = bytes.split_at_checked(HEADER).ok_or(Fault::Malformed)?;
+    let (header, rest) = bytes.split_at_checked(HEADER).ok_or(DatagramError::Malformed)?;
     if header[..2] != MARK {
-        return Err(Fault::Malformed);
+        return Err(DatagramError::Malformed);
     }
-    if header[2] != VERSION {
-        return Err(Fault::Version);
+    if header[2] != PROTOCOL_VERSION {
+        return Err(DatagramError::Version);
     }
     if header[3..] != crc32c::crc32c(rest).to_le_bytes() {
-        return Err(Fault::Checksum);
+        return Err(DatagramError::Checksum);
     }
     let (envelope, mut rest): (Envelope, _) =
-        postcard::take_from_bytes(rest).map_err(|_| Fault::Malformed)?;
+        postcard::take_from_bytes(rest).map_err(|_| DatagramError::Malformed)?;
     if envelope.cluster != cluster {
-        return Err(Fault::Foreign);
+        return Err(DatagramError::Foreign);
     }
-    if envelope.from.is_empty() || envelope.from.len() > MAX_WORD {
-        return Err(Fault::Malformed);
+    if envelope.from.is_empty() || envelope.from.len() > MAX_TEXT_BYTES {
+        return Err(DatagramError::Malformed);
     }
     let mut records = Vec::new();
     while !rest.is_empty() {
-        let (record, left): (Record, _) = postcard::take_from_bytes(rest).map_err(|_| Fault::Malformed)?;
-        if !record.is_proper() {
-            return Err(Fault::Malformed);
+        let (record, left): (Record, _) =
+            postcard::take_from_bytes(rest).map_err(|_| DatagramError::Malformed)?;
+        if !record.is_valid() {
+            return Err(DatagramError::Malformed);
         }
         records.push(record);
         rest = left;
@@ -206,14 +207,14 @@
 
 /// Knows which of a sender's datagrams have come: the last 64 by number.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
+pub struct ReplayWindow {
     newest: u64,
     seen: u64,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Whether this number is new; it is not from then on.
-    pub fn take(&mut self, counter: u64) -> bool {
+    pub fn accept(&mut self, counter: u64) -> bool {
         if counter > self.newest {
             let ahead = counter - self.newest;
             self.seen = if ahead < 64 { self.seen << ahead } else { 0 } | 1;
--- a/crates/membership/tests/laws.rs
+++ b/crates/membership/tests/laws.rs
@@ -43,8 +43,8 @@
 }
 
 fn datagram(envelope: &Envelope, records: &[Record]) -> Vec<u8> {
-    let mut writer = Writer::new(envelope);
-    assert!(records.iter().all(|record| writer.add(&encode(record))));
+    let mut writer = DatagramWriter::new(envelope);
+    assert!(records.iter().all(|record| writer.add(&encode_record(record))));
     writer.finish()
 }
 
@@ -82,7 +82,7 @@
         good[at] ^= 1 << bit;
         one.handle(0, Event::Datagram { from: address(2), bytes: &good[..at] }, &mut out);
         prop_assert!(one.members(0).len() == 1 && out.is_empty());
-        prop_assert_eq!(one.counts().faults.values().sum::<u64>(), 3);
+        prop_assert_eq!(one.counts().dropped.values().sum::<u64>(), 3);
         one.handle(0, Event::Datagram { from: address(2), bytes: &good }, &mut out);
         prop_assert_eq!(one.members(0).len(), 2);
     }
@@ -114,10 +114,10 @@
     /// A window takes each number once, whatever comes in between.
     #[test]
     fn a_window_takes_no_number_twice(numbers in prop::collection::vec(0u64..200, 1..300)) {
-        let (mut window, mut taken) = (Window::default(), std::collections::BTreeSet::new());
+        let (mut window, mut taken) = (ReplayWindow::default(), std::collections::BTreeSet::new());
         for number in numbers {
             let newest = taken.last().copied().unwrap_or(0);
-            let took = window.take(number);
+            let took = window.accept(number);
             prop_assert!(!took || taken.insert(number), "{number} twice");
             prop_assert!(took || taken.contains(&number) || number == 0 || newest >= number + 64);
         }
@@ -133,19 +133,22 @@
         datagram(&envelope, std::slice::from_ref(&alive))
     };
     let mut newer = of(|_| ());
-    newer[2] = VERSION + 1;
+    newer[2] = PROTOCOL_VERSION + 1;
     for (bytes, fault) in [
-        (of(|e| e.cluster += 1), Fault::Foreign),
-        (of(|e| e.from = "one".into()), Fault::Own),
-        (of(|e| e.to = Some("three".into())), Fault::Misdirected),
-        (newer, Fault::Version),
-        (vec![0; MAX_DATAGRAM + 1], Fault::Long),
-        (of(|e| e.body = Body::Ack { probe: 77 }), Fault::Unexpected),
+        (of(|e| e.cluster += 1), DatagramError::Foreign),
+        (of(|e| e.from = "one".into()), DatagramError::Own),
+        (of(|e| e.to = Some("three".into())), DatagramError::Misdirected),
+        (newer, DatagramError::Version),
+        (vec![0; MAX_DATAGRAM + 1], DatagramError::Long),
+        (of(|e| e.body = Body::Ack { probe: 77 }), DatagramError::Unexpected),
     ] {
         let (mut one, mut out) = (node("one", 1, 1), Vec::new());
         one.handle(0, Event::Datagram { from: address(2), bytes: &bytes }, &mut out);
-        assert_eq!(one.counts().faults.get(&fault), Some(&1), "{fault:?}");
-        assert!(fault == Fault::Unexpected || one.members(0).len() == 1 && out.is_empty(), "{fault:?}");
+        assert_eq!(one.counts().dropped.get(&fault), Some(&1), "{fault:?}");
+        assert!(
+            fault == DatagramError::Unexpected || one.members(0).len() == 1 && out.is_empty(),
+            "{fault:?}"
+        );
     }
     let (mut one, mut out) = (node("one", 1, 1), Vec::new());
     let ping =
@@ -154,7 +157,7 @@
     one.handle(0, Event::Datagram { from: address(2), bytes: &ping(2) }, &mut out);
     out.clear();
     one.handle(0, Event::Datagram { from: address(2), bytes: &ping(2) }, &mut out);
-    assert!(out.is_empty() && one.counts().faults.get(&Fault::Replayed) == Some(&1));
+    assert!(out.is_empty() && one.counts().dropped.get(&DatagramError::Replayed) == Some(&1));
 }
 
 /// Guards the contradiction: a number beyond which there is none is no number.
@@ -167,7 +170,7 @@
         one.handle(0, Event::Datagram { from: address(2), bytes: &bytes }, &mut out);
         let expected = if heeded { MAX_INCARNATION } else { 1 };
         assert_eq!(one.incarnation(), expected);
-        assert_eq!(one.counts().faults.get(&Fault::Malformed), (!heeded).then_some(&1));
+        assert_eq!(one.counts().dropped.get(&DatagramError::Malformed), (!heeded).then_some(&1));
     }
 }
 
@@ -178,8 +181,8 @@
         let bytes = datagram(&envelope("two", counter, Body::Gossip), &[]);
         one.handle(0, Event::Datagram { from: address(2), bytes: &bytes }, &mut out);
     }
-    let dropped = one.counts().faults.get(&Fault::Flood).copied().unwrap_or(0);
-    assert_eq!((dropped, one.counts().heard), (2_000 - 513, 513));
+    let dropped = one.counts().dropped.get(&DatagramError::Flood).copied().unwrap_or(0);
+    assert_eq!((dropped, one.counts().accepted), (2_000 - 513, 513));
 }
 
 #[test]
@@ -192,7 +195,7 @@
         one.handle(n * MS, Event::Datagram { from: address(2), bytes: &bytes }, &mut out);
     }
     assert_eq!(one.members(0).len(), MAX_MEMBERS);
-    assert_eq!(one.counts().faults.get(&Fault::Full), Some(&11));
+    assert_eq!(one.counts().dropped.get(&DatagramError::Full), Some(&11));
 }
 
 /// Guards a name: of two processes that have it and hear each other, the one of the greater run stays.
@@ -206,7 +209,7 @@
     for now in (0..20_000).map(|ms| ms * MS) {
         for n in 0..3 {
             let who = if n == 2 { &mut teller } else { &mut both[n] };
-            if who.due().is_some_and(|due| due <= now) {
+            if who.next_deadline().is_some_and(|due| due <= now) {
                 who.handle(now, Event::Tick, &mut out);
             }
             for (to, from, bytes) in std::mem::take(&mut wires) {
@@ -225,13 +228,13 @@
                         };
                         wires.push((to, address(n as u16 + 1), bytes));
                     }
-                    Action::Changed(Change::StoodDown) => down[n] = true,
+                    Action::Changed(Change::Superseded) => down[n] = true,
                     Action::Changed(_) => {}
                 }
             }
         }
     }
     assert_eq!(down, [true, false]);
-    assert!(both[1].takes_part() && !both[0].takes_part());
+    assert!(both[1].is_active() && !both[0].is_active());
     assert_eq!(teller.state_of("twin"), Some("alive"));
 }
--- a/crates/membership/tests/memory.rs
+++ b/crates/membership/tests/memory.rs
@@ -44,8 +44,8 @@
             to: None,
             body: Body::Gossip,
         };
-        let mut writer = Writer::new(&envelope);
-        assert!(writer.add(&encode(&record)));
+        let mut writer = DatagramWriter::new(&envelope);
+        assert!(writer.add(&encode_record(&record)));
         machine.handle(now, Event::Datagram { from: address(1), bytes: &writer.finish() }, &mut out);
         machine.handle(now, Event::Tick, &mut out);
         out.clear();
--- a/crates/membership/tests/saved.rs
+++ b/crates/membership/tests/saved.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use merlinfold_membership::Keeping;
+use merlinfold_membership::SavedFile;
 use merlinfold_store::{Disk, StoreError};
 
 /// Takes all that is written, and may fail to give it back.
@@ -45,24 +45,24 @@
 /// Guards the count of starts on a disk that for a while cannot be read but takes writes.
 #[test]
 fn a_read_that_fails_does_not_begin_the_count_anew() {
-    let (disk, keeping) = (Unreadable::default(), Keeping::new("n3", "guides"));
-    assert!((1..=3).all(|starts| keeping.start(&disk).0.starts == starts));
+    let (disk, keeping) = (Unreadable::default(), SavedFile::new("n3", "guides"));
+    assert!((1..=3).all(|starts| keeping.record_start(&disk).0.starts == starts));
     disk.fails.set(true);
-    let (saved, faults) = keeping.start(&disk);
+    let (saved, faults) = keeping.record_start(&disk);
     assert_eq!((saved.starts, faults.len()), (1, 1), "it goes on without, and says why");
     assert!(keeping.save(&disk, saved.starts, Vec::new()).is_err());
     disk.fails.set(false);
     keeping.save(&disk, saved.starts, Vec::new()).unwrap();
-    assert_eq!(keeping.start(&disk).0.starts, 4);
+    assert_eq!(keeping.record_start(&disk).0.starts, 4);
 }
 
 /// Guards the other side: what is damaged is set aside and does not keep the node from counting.
 #[test]
 fn a_damaged_file_begins_the_count_anew() {
-    let (disk, keeping) = (Unreadable::default(), Keeping::new("n3", "guides"));
-    keeping.start(&disk);
+    let (disk, keeping) = (Unreadable::default(), SavedFile::new("n3", "guides"));
+    keeping.record_start(&disk);
     disk.write(keeping.name(), b"mfstore").unwrap();
-    let (saved, faults) = keeping.start(&disk);
+    let (saved, faults) = keeping.record_start(&disk);
     assert!(saved.starts == 1 && matches!(faults[..], [StoreError::Unusable(_)]), "{faults:?}");
-    assert_eq!(keeping.start(&disk).0.starts, 2);
+    assert_eq!(keeping.record_start(&disk).0.starts, 2);
 }
--- a/crates/node/src/configuration/distributed.rs
+++ b/crates/node/src/configuration/distributed.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use merlinfold_distribution::{Content, Delta, PublishError, Rejection, RevisionId as FleetRevision};
-use merlinfold_fleet::{Change, ConfigurationHandle, ConfigurationView};
+use merlinfold_fleet::{ConfigurationHandle, ConfigurationView, NewRevision};
 use merlinfold_revision::FORMAT_VERSION;
 
 use super::active::RevisionId;
@@ -38,7 +38,7 @@
 
 impl Publisher for FleetPublisher {
     fn publish(&self, publication: Publication) -> PublishFuture<'_> {
-        let change = Change {
+        let change = NewRevision {
             base: publication.base.map(fleet_revision),
             format: publication.format,
             document: publication.document.to_vec(),
--- a/crates/node/src/console/log.rs
+++ b/crates/node/src/console/log.rs
@@ -4,7 +4,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Method, Response, StatusCode};
-use merlinfold_fleet::{LogHandle, NotAgreed};
+use merlinfold_fleet::{LogHandle, SetError};
 use serde::Deserialize;
 use tracing::info;
 
@@ -48,11 +48,9 @@
         Ok(revision) => Ok(text(StatusCode::OK, format!("{revision}\n"))),
         Err(error) => {
             let status = match error {
-                NotAgreed::SetAside(_) => StatusCode::CONFLICT,
-                NotAgreed::Unsent(_) => StatusCode::BAD_REQUEST,
-                NotAgreed::Unconfirmed | NotAgreed::Busy | NotAgreed::Ended => {
-                    StatusCode::SERVICE_UNAVAILABLE
-                }
+                SetError::SetAside(_) => StatusCode::CONFLICT,
+                SetError::Invalid(_) => StatusCode::BAD_REQUEST,
+                SetError::Unconfirmed | SetError::Busy | SetError::Stopped => StatusCode::SERVICE_UNAVAILABLE,
             };
             Err(ErrorResponse::new(status, error.to_string()))
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -206,7 +206,7 @@
         let (mut fleet, snapshots) =
             opened.map_err(|error| format!("fleet.listen: cannot use {at}: {error}"))?;
         self.use_fleet_configuration(&mut fleet);
-        self.fleet = Some((fleet.on(disks), snapshots));
+        self.fleet = Some((fleet.with_disks(disks), snapshots));
         self.driver.set_in_fleet();
         Ok(())
     }
@@ -254,7 +254,7 @@
             tasks.spawn(peers.receive(sender.clone()));
         }
         if let Some(console) = self.console {
-            let log = self.fleet.as_ref().and_then(|(fleet, _)| fleet.log());
+            let log = self.fleet.as_ref().and_then(|(fleet, _)| fleet.log_handle());
             let fleet = console::FleetApi { log, configuration: self.configuration };
             tasks.spawn(console::serve(console, sender.clone(), fleet));
         }
