--- a/crates/membership/src/broadcast.rs
+++ b/crates/membership/src/broadcast.rs
@@ -1,12 +1,12 @@
-//! Broadcasts that are piggybacked on datagrams, those transmitted least often first.
+//! Queue of records that are piggybacked on outgoing datagrams, those transmitted least often first.
 
 use std::collections::BTreeMap;
 
 use crate::record::{Name, Record, Status};
 use crate::wire::{encode_record, DatagramWriter};
 
-/// A member, and its accuser where the broadcast is an accusation: broadcasts of one key take each other's place, and
-/// as accusers count, each has its own.
+/// Name of the member, and of the accuser if the broadcast is an accusation. A broadcast replaces an earlier one with
+/// the same key. Accusations by different accusers have keys of their own because the number of accusers matters.
 type Key = (Name, Option<Name>);
 
 #[derive(Clone, Debug)]
@@ -15,13 +15,13 @@
     transmissions: u32,
 }
 
-/// Broadcasts under way. At most one for each member and accuser.
+/// Pending broadcasts: at most one for each member and accuser.
 #[derive(Clone, Debug, Default)]
 pub struct BroadcastQueue(BTreeMap<Key, Broadcast>);
 
 impl BroadcastQueue {
-    /// Begins to spread this; what was told of the member so far no longer is, unless it is the same accusation by
-    /// somebody else.
+    /// Queues a record. It replaces all pending broadcasts about the member, except that an accusation replaces only an
+    /// earlier one by the same accuser.
     pub fn add(&mut self, record: &Record) {
         let accuser = match &record.status {
             Status::Suspect { by } => Some(by.clone()),
@@ -44,12 +44,13 @@
         }
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether no broadcast is pending.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Fills the datagram with what was transmitted least often. A broadcast ends after `max_transmissions`.
+    /// Fills the datagram with the broadcasts that were transmitted least often. A broadcast is removed after
+    /// `max_transmissions`.
     pub fn fill(&mut self, writer: &mut DatagramWriter, max_transmissions: u32) {
         if self.0.is_empty() {
             return;
@@ -60,7 +61,7 @@
         for (_, key) in order {
             let Some(broadcast) = self.0.get_mut(&key) else { continue };
             if !writer.add(&broadcast.bytes) {
-                break; // the next one could be smaller, but waits no longer than one datagram
+                break; // a smaller broadcast may follow, but it has to wait for one more datagram only
             }
             broadcast.transmissions += 1;
             if broadcast.transmissions >= max_transmissions {
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! What an operator may set, and the times that follow.
+//! The identity of a node and the parameters of the protocol.
 
 use std::net::SocketAddr;
 
@@ -7,29 +7,29 @@
 /// A point in monotonic time, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A millisecond.
+/// Nanoseconds in a millisecond.
 pub const MS: Nanos = 1_000_000;
 
-/// Members that a view holds at most.
+/// Maximum number of members in a view, including the node itself.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// Who this is and whom it knows.
+/// The identity of a node and the addresses at which it looks for others.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The fleet: others are not heard. Any text; it travels as a number.
+    /// Name of the fleet; datagrams of other fleets are ignored. Any text is allowed; datagrams carry its hash.
     pub cluster: Name,
-    /// This node's name.
+    /// Name of this node.
     pub name: Name,
-    /// This start: greater than all earlier ones of the node.
+    /// Run number of this process: greater than that of every earlier process of the node.
     pub run: u64,
-    /// What the node says of itself.
+    /// Properties that the node announces about itself.
     pub profile: crate::record::Profile,
-    /// Where others may be found.
+    /// Addresses at which other members may be found.
     pub seeds: Vec<SocketAddr>,
 }
 
 impl Identity {
-    /// The fleet as it stands in datagrams: FNV-1a, the same in every version.
+    /// The FNV-1a hash of the fleet's name, which datagrams carry. It is the same in every version.
     pub fn cluster_number(&self) -> u64 {
         use std::hash::Hasher;
         let mut hasher = fnv::FnvHasher::default();
@@ -38,34 +38,34 @@
     }
 }
 
-/// Times and numbers of the protocol.
+/// Intervals, timeouts and fan-outs of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// Time between probes.
+    /// Time between two probes.
     pub probe_interval: Nanos,
-    /// Time for an answer to one try of a probe; above the round trip between the farthest zones.
+    /// Timeout of one attempt of a probe. It has to exceed the round trip between the most distant zones.
     pub probe_timeout: Nanos,
-    /// Helpers that are asked at the second and third try, each.
+    /// Number of helpers that are asked for an indirect probe at the second and at the third attempt.
     pub helpers: usize,
-    /// Time from accusation to death with as many accusers as are wanted.
+    /// Time from suspicion to death if all expected confirmations have been received.
     pub min_suspicion_time: Nanos,
-    /// The same with one accuser.
+    /// Time from suspicion to death if no other member has confirmed the suspicion.
     pub max_suspicion_time: Nanos,
-    /// Further accusers that are wanted.
+    /// Number of accusers beside the first that shorten the suspicion to its minimum.
     pub confirmations: usize,
-    /// Members that check an accusation themselves, on average.
+    /// Mean number of members that check an accusation with a probe of their own.
     pub mean_checkers: usize,
-    /// Time between rounds of gossip, while there is something to tell.
+    /// Time between gossip rounds while broadcasts are pending.
     pub gossip_interval: Nanos,
-    /// Members that are told in a round.
+    /// Number of members that a gossip round is sent to.
     pub fan_out: usize,
-    /// Time between digests to a live member.
+    /// Mean time between digests that are sent to a random live member.
     pub digest_interval: Nanos,
-    /// Time between tries to reach a dead member or a seed.
+    /// Mean time between attempts to reach a dead member or a seed.
     pub rejoin_interval: Nanos,
-    /// How long a dead member is remembered.
+    /// Time for which a dead member is remembered.
     pub dead_retention: Nanos,
-    /// How long one that left is remembered.
+    /// Time for which a member that has left is remembered.
     pub left_retention: Nanos,
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,13 @@
-//! Who is there: membership of a fleet, by SWIM with Lifeguard's local health and confirmations.
+//! Fleet membership with the SWIM protocol, extended by Lifeguard's local health score and suspicion confirmations.
 //!
-//! A pure machine. Time, datagrams and a seed come in; datagrams and changes come out. It opens no socket, reads no
-//! clock and writes no file: the same code runs in the product and, by the thousand, in virtual time.
+//! The crate is a state machine without input or output. It takes the time, datagrams and a seed, and returns datagrams
+//! and membership changes. It opens no socket, reads no clock and writes no file, so that the same code runs in the
+//! product and, with thousands of nodes, in virtual time.
 //!
-//! It is no agreement. Two nodes may see different fleets at any moment, and nothing may be built on their seeing
-//! the same. What it gives with the view is how sure it is ([`ViewSummary`]). It knows no keys: whoever can send
-//! datagrams to a member can mislead it, so its network has to be a trusted one.
+//! Membership is eventually consistent and is not a consensus protocol. Two nodes may see different members at any
+//! moment, and no caller may rely on their views being equal. [`ViewSummary`] states how much of the fleet the node
+//! reaches. Datagrams are not authenticated: anyone who can send datagrams to a member can mislead it, so the network
+//! has to be trusted.
 //!
 //! ```
 //! use merlinfold_membership::{Action, Event, Identity, Membership, Profile, Tuning};
--- a/crates/membership/src/machine/anti_entropy.rs
+++ b/crates/membership/src/machine/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: members compare digests of their views, and send each other what differs.
+//! Anti-entropy: members compare digests of their views and send each other the members that differ.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -9,16 +9,16 @@
 use crate::record::{Name, Record, Status};
 use crate::wire::{encode_record, Body, DatagramError};
 
-/// Buckets of a digest.
+/// Number of buckets in a digest.
 const BUCKETS: usize = 64;
-/// Replies to digests that wait at once.
+/// Maximum number of pending digest replies.
 const MAX_DIGEST_REPLIES: usize = 64;
-/// Time between rounds of replies.
+/// Time between two rounds of digest replies.
 const REPLY_INTERVAL: Nanos = 20 * MS;
-/// Datagrams of replies in a round.
+/// Number of datagrams sent in one round of digest replies.
 const REPLIES_PER_ROUND: usize = 4;
 
-/// What is still to be sent to a member whose digest differs.
+/// Members that are still to be sent to a member whose digest differs.
 #[derive(Clone, Debug)]
 pub(super) struct DigestReply {
     to: Name,
@@ -32,12 +32,12 @@
     hasher.finish()
 }
 
-/// The bucket that a member is in, everywhere.
+/// The bucket of a member, which is the same on all nodes.
 fn bucket(name: &Name) -> usize {
     (hash(&[name.as_bytes()]) % BUCKETS as u64) as usize
 }
 
-/// Adds a member to the sums; the order of additions does not matter.
+/// Adds a member to the checksums; the result does not depend on the order of additions.
 fn add_to_sums(sums: &mut [u32], name: &Name, incarnation: u64, run: u64) {
     let sum = hash(&[name.as_bytes(), &incarnation.to_le_bytes(), &run.to_le_bytes()]);
     let slot = &mut sums[bucket(name)];
@@ -45,7 +45,7 @@
 }
 
 impl Membership {
-    /// The digest of this node's view: a sum over the live members of each bucket.
+    /// The digest of this node's view: one checksum for the live members of each bucket.
     fn digest_sums(&mut self) -> &Vec<u32> {
         let own = self.own_record();
         self.digest_sums.get_or_insert_with(|| {
@@ -58,12 +58,12 @@
         })
     }
 
-    /// The digest as it is sent first; the other's is wanted in return.
+    /// A digest that asks the receiver for its own digest in return.
     pub(super) fn digest_request(&mut self) -> Body {
         Body::Digest { sums: self.digest_sums().clone(), answer: true }
     }
 
-    /// Sends the digest to a live member, drawn.
+    /// Sends the digest to a random live member.
     pub(super) fn send_digest(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let every = self.tuning.digest_interval;
         self.next_digest = now + every / 2 + self.rng.u64(0..=every);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Compares another's digest with this node's, and puts what differs in line to be sent.
+    /// Compares another member's digest with this node's, and queues the members of all buckets that differ.
     pub(super) fn handle_digest(
         &mut self, from: &Name, address: SocketAddr, sums: &[u32], answer: bool, out: &mut Vec<Action>,
     ) -> Result<(), DatagramError> {
@@ -94,7 +94,7 @@
         if self.digest_replies.len() >= MAX_DIGEST_REPLIES {
             return Err(DatagramError::Flood);
         }
-        self.digest_replies.retain(|reply| reply.to != *from); // the newest holds
+        self.digest_replies.retain(|reply| reply.to != *from); // the latest digest replaces earlier ones
         self.digest_replies.push_back(DigestReply { to: from.clone(), address, names });
         Ok(())
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sends one datagram of the reply that waits longest.
+    /// Sends one datagram of the reply at the head of the queue.
     fn send_digest_reply(&mut self, out: &mut Vec<Action>) {
         let Some(mut reply) = self.digest_replies.pop_front() else { return };
         let mut writer = self.begin_datagram(Some(&reply.to), Body::Gossip);
@@ -124,7 +124,8 @@
         }
     }
 
-    /// What is told of a member; a node without a majority keeps its deaths to itself.
+    /// The records that describe a member. A node without a majority does not report deaths, because it may be the one
+    /// that is cut off.
     fn records_to_reply(&self, name: &Name) -> Vec<Record> {
         let Some(peer) = self.peers.get(name) else { return Vec::new() };
         let mut records = peer.records(name, &self.me.name);
--- a/crates/membership/src/machine/event.rs
+++ b/crates/membership/src/machine/event.rs
@@ -1,35 +1,35 @@
-//! What the state machine is told, and what it wants done.
+//! Input events and output actions of the state machine.
 
 use std::net::SocketAddr;
 
 use crate::view::Change;
 
-/// What the machine is told.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// A datagram has come.
+    /// A datagram was received.
     Datagram {
-        /// Where an answer goes.
+        /// Address to which an answer is sent.
         from: SocketAddr,
-        /// It.
+        /// Content of the datagram.
         bytes: &'a [u8],
     },
-    /// Time has passed.
+    /// Time has passed; due timers are run.
     Tick,
-    /// This node leaves the fleet.
+    /// This node is to leave the fleet.
     Leave,
 }
 
-/// What it wants done.
+/// An output of the state machine, to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send this.
+    /// Send a datagram.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// Content of the datagram.
         bytes: Vec<u8>,
     },
-    /// Something is now seen otherwise.
+    /// The view has changed.
     Changed(Change),
 }
--- a/crates/membership/src/machine/indirect.rs
+++ b/crates/membership/src/machine/indirect.rs
@@ -1,4 +1,4 @@
-//! Indirect probes: this node asks a member on behalf of another, and passes the answer on.
+//! Indirect probes: this node probes a member on behalf of another, and forwards the answer.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,22 @@
 use crate::record::Name;
 use crate::wire::{Body, DatagramError};
 
-/// Number of the probes by which a suspect is asked before it is held dead: its refutation counts, not its answer.
+/// Probe number of the final probes that a suspect receives before it is declared dead. Their acknowledgement is
+/// ignored; only a refutation counts.
 pub(super) const FINAL_PROBE: u64 = 0;
-/// Probes for others that are under way at once.
+/// Maximum number of pending indirect probes.
 const MAX_INDIRECT_PROBES: usize = 256;
 
-/// Who asked for a probe.
+/// The member that has asked for an indirect probe.
 #[derive(Clone, Debug)]
 pub(super) struct Origin {
     pub name: Name,
     pub address: SocketAddr,
-    /// The origin's number of the probe.
+    /// Number of the probe at the origin.
     pub number: u64,
 }
 
-/// A probe that this node makes for another.
+/// A probe that this node makes for another member.
 #[derive(Clone, Debug)]
 pub(super) struct IndirectProbe {
     number: u64,
@@ -31,12 +32,12 @@
 }
 
 impl Membership {
-    /// When a helper's word that it has heard nothing is due next.
+    /// Time at which the next negative acknowledgement has to be sent.
     pub(super) fn next_nack(&self) -> Option<Nanos> {
         self.indirect_probes.iter().filter(|probe| !probe.nack_sent).map(|probe| probe.nack_at).min()
     }
 
-    /// Another member asks this node to probe `target`, which it sees at `address`.
+    /// Probes `target` on behalf of another member, which knows it at `address`.
     pub(super) fn handle_ask(
         &mut self, now: Nanos, origin: Origin, target: &Name, address: SocketAddr, out: &mut Vec<Action>,
     ) -> Result<(), DatagramError> {
@@ -50,22 +51,24 @@
             nack_at: now + self.tuning.probe_timeout * 4 / 5,
             nack_sent: false,
         });
-        // Where this node sees it, if it does: an address may differ by observer.
-        let known = self.peers.get(target).map_or(address, |peer| peer.profile.address);
-        self.send(Some(target), known, Body::Ping { probe: number }, &[], out);
+        // Prefers the address that this node knows, because the address of a member may differ by observer.
+        let target_address = self.peers.get(target).map_or(address, |peer| peer.profile.address);
+        self.send(Some(target), target_address, Body::Ping { probe: number }, &[], out);
         Ok(())
     }
 
-    /// Passes an answer on to the member that asked for the probe.
+    /// Forwards an answer to the member that asked for the probe.
     pub(super) fn forward_ack(&mut self, number: u64, out: &mut Vec<Action>) -> Result<(), DatagramError> {
-        let at = self.indirect_probes.iter().position(|probe| probe.number == number);
-        let probe = at.and_then(|at| self.indirect_probes.remove(at)).ok_or(DatagramError::Unexpected)?;
+        let position = self.indirect_probes.iter().position(|probe| probe.number == number);
+        let probe = position
+            .and_then(|position| self.indirect_probes.remove(position))
+            .ok_or(DatagramError::Unexpected)?;
         let Origin { name, address, number } = probe.origin;
         self.send(Some(&name), address, Body::Ack { probe: number }, &[], out);
         Ok(())
     }
 
-    /// Tells those who asked that there is no answer yet, and forgets the probes that are long over.
+    /// Sends negative acknowledgements for probes without an answer, and drops indirect probes that have expired.
     pub(super) fn send_nacks(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let grace = self.tuning.probe_timeout * 2;
         self.indirect_probes.retain(|probe| probe.nack_at + grace > now);
--- a/crates/membership/src/machine/joining.rs
+++ b/crates/membership/src/machine/joining.rs
@@ -1,4 +1,4 @@
-//! Joining and leaving: the search for members that are not there, goodbyes, and members that are forgotten.
+//! Joining and leaving: contacting dead members and seeds, announcing a leave, and forgetting members.
 
 use std::net::SocketAddr;
 
@@ -9,33 +9,33 @@
 use crate::view::Change;
 use crate::wire::Body;
 
-/// Time between tries to join while nobody else is known, at first.
+/// Initial time between attempts to join while no other member is live.
 pub(super) const MIN_REJOIN_WAIT: Nanos = 250 * MS;
-/// Rounds of goodbyes.
+/// Number of rounds in which a leave is announced.
 const LEAVE_ROUNDS: u32 = 3;
-/// Time between them.
+/// Time between these rounds.
 const LEAVE_INTERVAL: Nanos = 100 * MS;
-/// Members that are told in each.
+/// Number of members to which each round is sent.
 const LEAVE_FAN_OUT: usize = 8;
 
-/// Whether this process takes part.
+/// Lifecycle of this process in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lifecycle {
-    /// It does.
+    /// The process takes part in the protocol.
     Active,
-    /// It says goodbye.
+    /// The process announces that it leaves.
     Leaving {
-        /// Rounds of goodbyes so far.
+        /// Number of rounds sent so far.
         rounds: u32,
-        /// When the next one is due.
+        /// Time of the next round.
         next_round: Nanos,
     },
-    /// It has left, or stood down for another process of this name.
+    /// The process has left, or was superseded by another process with its name.
     Stopped,
 }
 
 impl Membership {
-    /// Looks for those who are not there: dead members and seeds.
+    /// Sends a digest to a random dead member or to a seed without a live member.
     pub(super) fn rejoin(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let is_alone = self.live_names().is_empty();
         let every = self.tuning.rejoin_interval;
@@ -50,7 +50,7 @@
         self.send(name.as_ref(), address, body, &[self.own_record()], out);
     }
 
-    /// Where dead members were, and the seeds at which no live member is.
+    /// Addresses of dead members, and of seeds at which no live member is known.
     fn missing_addresses(&self) -> Vec<(Option<Name>, SocketAddr)> {
         let dead = self.peers.iter().filter(|(_, peer)| matches!(peer.state, State::Dead { .. }));
         let dead = dead.map(|(name, peer)| (Some(name.clone()), peer.profile.address));
@@ -62,7 +62,7 @@
         dead.chain(seeds.map(|address| (None, *address))).collect()
     }
 
-    /// Begins to leave.
+    /// Starts to leave the fleet.
     pub(super) fn leave(&mut self, now: Nanos, out: &mut Vec<Action>) {
         if self.lifecycle == Lifecycle::Active {
             self.lifecycle = Lifecycle::Leaving { rounds: 0, next_round: now };
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Tells a few members that this node leaves; stops after the last round.
+    /// Announces the leave to a few members; stops after the last round.
     pub(super) fn announce_leave(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let Lifecycle::Leaving { rounds, .. } = self.lifecycle else { return };
         if rounds >= LEAVE_ROUNDS {
@@ -84,10 +84,10 @@
         }
     }
 
-    /// Forgets members that have been dead or gone for long.
+    /// Forgets members whose retention time after death or leave is over.
     pub(super) fn forget_expired(&mut self, now: Nanos, out: &mut Vec<Action>) {
         if !self.majority {
-            return; // a small side that forgot the others would take itself for the whole
+            return; // a minority that forgot the others would take itself for the whole fleet
         }
         let expired = self.expired_members(now);
         if !expired.is_empty() {
--- a/crates/membership/src/machine/majority.rs
+++ b/crates/membership/src/machine/majority.rs
@@ -1,4 +1,4 @@
-//! Whether this node hears more than half of the fleet, by its own probes and by what it holds dead.
+//! Majority detection: whether this node reaches more than half of the fleet, by its own probes and by known deaths.
 
 use super::probing::Probe;
 use super::{Action, Membership};
@@ -6,15 +6,15 @@
 use crate::record::Name;
 use crate::view::Change;
 
-/// Probes by which a node judges how much of the fleet it hears.
+/// Number of recent probe results from which the reachable share of the fleet is estimated.
 const MAX_PROBE_RESULTS: usize = 12;
-/// Fewer of them say nothing.
+/// Minimum number of results for an estimate.
 const MIN_PROBE_RESULTS: u32 = 6;
-/// Probes that tell a node without a majority that it has one again.
+/// Minimum number of results before a node without a majority can regain it.
 const MIN_RESULTS_TO_REGAIN: u32 = 9;
 
 impl Membership {
-    /// Keeps the result of a probe that was drawn in its turn.
+    /// Stores the result of a probe whose target was chosen by the round.
     pub(super) fn note_probe_result(&mut self, probe: &Probe, reached: bool) {
         if !probe.in_turn {
             return;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Looks whether this node has a majority, and tells the rest of the program where that has changed.
+    /// Recomputes whether this node has a majority, and reports a change.
     pub(super) fn update_majority(&mut self, out: &mut Vec<Action>) {
         let majority = self.hears_majority();
         if majority == self.majority {
@@ -37,19 +37,19 @@
         out.push(Action::Changed(Change::Majority(majority)));
     }
 
-    /// How much of the fleet this node hears, as its own probes tell before deaths do.
+    /// Estimates whether this node reaches a majority. Its own probes show a loss before deaths are declared.
     fn hears_majority(&mut self) -> bool {
         let (known, live) = self.member_counts();
         let (probed, reached) = self.count_probe_results();
         if !self.majority {
-            // Hearsay brings others back to life, but only who is reached both ways can be counted on.
+            // Gossip alone can revive other members here; only a successful probe proves that both directions work.
             return probed >= MIN_RESULTS_TO_REGAIN && 3 * reached >= 2 * probed && 2 * (1 + live) > known;
         }
         let share = if probed < MIN_PROBE_RESULTS { 1.0 } else { f64::from(reached) / f64::from(probed) };
         2.0 * (1.0 + live as f64 * share) > known as f64
     }
 
-    /// All members that should be there, this node among them, and the other members that are live.
+    /// Number of expected members including this node, and number of other members that are live.
     fn member_counts(&mut self) -> (usize, usize) {
         let peers = &self.peers;
         *self.member_counts.get_or_insert_with(|| {
@@ -58,9 +58,9 @@
         })
     }
 
-    /// Probes that count, and those of them that reached their target.
+    /// Number of probe results that count, and of those that reached their target.
     fn count_probe_results(&self) -> (u32, u32) {
-        // Deaths are in the count of the living; what a probe says of them would count twice.
+        // Dead members are missing from the live count already, so probes of them would count twice.
         let counts = |name: &Name| !self.majority || self.peers.get(name).is_some_and(Peer::is_live);
         let results = self.probe_results.iter().filter(|(name, _)| counts(name));
         results.fold((0, 0), |(probed, reached), (_, ok)| (probed + 1, reached + u32::from(*ok)))
--- a/crates/membership/src/machine/merging.rs
+++ b/crates/membership/src/machine/merging.rs
@@ -1,4 +1,4 @@
-//! Merging: what others tell of a member, and what this node finds out itself, against what it holds.
+//! Merging of records, received from others or found by this node, into the view.
 
 use super::joining::Lifecycle;
 use super::{Action, Membership};
@@ -8,19 +8,19 @@
 use crate::view::Change;
 use crate::wire::{DatagramError, ReplayWindow};
 
-/// Whether the record is about what is held: the same start with the same incarnation.
+/// Whether the record is about the stored incarnation and run of the member.
 fn is_same_claim(peer: &Peer, record: &Record) -> bool {
     record.incarnation == peer.incarnation && record.run == peer.run
 }
 
-/// Whether an accusation by this record is heard.
+/// Whether the record may accuse the member: it is not outdated, and the member is not immune.
 fn accepts_accusation(peer: &Peer, record: &Record, now: Nanos) -> bool {
     let is_newer = record.incarnation > peer.incarnation;
     (is_newer || is_same_claim(peer, record) && peer.is_live()) && !peer.is_immune(now)
 }
 
 impl Membership {
-    /// What this node says of itself.
+    /// The record that this node announces about itself.
     pub(super) fn own_record(&self) -> Record {
         let status = match self.lifecycle {
             Lifecycle::Active => Status::Alive(self.me.profile.clone()),
@@ -29,7 +29,7 @@
         Record { name: self.me.name.clone(), incarnation: self.incarnation, run: self.me.run, status }
     }
 
-    /// Merges a record that `from` has told, or that this node has found out itself.
+    /// Merges a record. `from` is the sender, or `None` if this node produced the record itself.
     pub(super) fn merge(&mut self, now: Nanos, record: &Record, from: Option<&Name>, out: &mut Vec<Action>) {
         if record.name == self.me.name {
             return self.merge_own(record, out);
@@ -67,7 +67,7 @@
         self.announce(record, Some(was), "alive", out);
     }
 
-    /// Takes a new member in, and probes it at a drawn place of this round.
+    /// Adds a new member to the view and to a random position of the current probe round.
     fn add_member(&mut self, record: &Record, profile: &Profile, out: &mut Vec<Action>) {
         if self.peers.len() + 1 >= MAX_MEMBERS {
             self.count_dropped(DatagramError::Full);
@@ -75,8 +75,8 @@
         }
         let peer = Peer::new(profile.clone(), record.incarnation, record.run);
         self.peers.insert(record.name.clone(), peer);
-        let place = self.rng.usize(0..=self.probe_round.len());
-        self.probe_round.insert(place, record.name.clone());
+        let position = self.rng.usize(0..=self.probe_round.len());
+        self.probe_round.insert(position, record.name.clone());
         self.announce(record, None, "alive", out);
     }
 
@@ -94,7 +94,7 @@
         }
         let is_suspect = matches!(peer.state, State::Suspect { .. });
         if !is_suspect || !is_same_claim(peer, record) {
-            // Not suspected here so far: it gets the time to refute.
+            // The member was not suspected here, so it becomes a suspect first and has time to refute.
             if let Some(from) = from {
                 self.accuse(now, record, from.clone(), out);
             }
@@ -109,8 +109,8 @@
     fn merge_left(&mut self, now: Nanos, record: &Record, out: &mut Vec<Action>) {
         let Some(peer) = self.peers.get_mut(&record.name) else { return };
         let is_newer = record.incarnation > peer.incarnation;
-        let is_heard = is_newer || is_same_claim(peer, record);
-        if !is_heard || matches!(peer.state, State::Left { .. }) {
+        let is_current = is_newer || is_same_claim(peer, record);
+        if !is_current || matches!(peer.state, State::Left { .. }) {
             return;
         }
         let was = peer.state.name();
@@ -121,7 +121,7 @@
         self.announce(record, Some(was), "left", out);
     }
 
-    /// Tells others and the rest of the program that a member's state has changed.
+    /// Broadcasts a state change of a member, and reports it to the caller.
     pub(super) fn announce(
         &mut self, record: &Record, was: Option<&'static str>, is: &'static str, out: &mut Vec<Action>,
     ) {
--- a/crates/membership/src/machine/mod.rs
+++ b/crates/membership/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The SWIM state machine: one node's part in the protocol.
+//! The SWIM state machine: the protocol of one node.
 //!
 //! [`Membership`] takes events and appends actions. Each submodule implements one part of the protocol on it.
 
@@ -31,16 +31,16 @@
 use joining::{Lifecycle, MIN_REJOIN_WAIT};
 use probing::Probe;
 
-/// A timer that fires this late tells a node that its process was held up.
+/// Lateness of a timer from which the process counts as stalled.
 pub const STALL_THRESHOLD: Nanos = 100 * MS;
-/// Limit of the local health score, by which timeouts are multiplied beside the once.
+/// Maximum of the local health score. Timeouts are multiplied by the score plus one.
 const MAX_LOCAL_HEALTH: u64 = 8;
-/// What a process that was held up adds to its local health score.
+/// Amount by which a stall raises the local health score.
 const STALL_PENALTY: u64 = 2;
-/// Time between sweeps over members that may be forgotten.
+/// Time between sweeps that forget members.
 const SWEEP_INTERVAL: Nanos = 1_000 * MS;
 
-/// One node's part. See the crate's documentation for an example.
+/// The membership protocol of one node. The crate documentation has an example.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: Identity,
@@ -51,19 +51,19 @@
     lifecycle: Lifecycle,
     peers: BTreeMap<Name, Peer>,
 
-    // Caches, made again after a change of the view.
+    // Caches, which are recomputed after a change of the view.
     live_names: Option<Arc<[Name]>>,
     digest_sums: Option<Vec<u32>>,
-    /// All members that should be there, and the live ones among them.
+    /// Number of expected members, and number of other members that are live.
     member_counts: Option<(usize, usize)>,
 
     /// Members that are still to be probed in this round.
     probe_round: Vec<Name>,
     probe: Option<Probe>,
     next_probe: Nanos,
-    /// Suspects that this node probes out of turn.
+    /// Suspects that this node probes ahead of the round.
     checks: VecDeque<Name>,
-    /// Probes that this node makes for others.
+    /// Probes that this node makes on behalf of others.
     indirect_probes: VecDeque<IndirectProbe>,
     last_probe_number: u64,
     suspects: BTreeSet<Name>,
@@ -77,33 +77,33 @@
     rejoin_wait: Nanos,
     next_sweep: Nanos,
 
-    /// Results of the latest probes in turn, as the majority is estimated from them.
+    /// Results of the latest probes of the round, from which the majority is estimated.
     probe_results: VecDeque<(Name, bool)>,
     majority: bool,
-    last_heard: Nanos,
-    /// Nobody was heard for so long that this node's own accusations are withheld.
+    last_received: Nanos,
+    /// Whether no datagram was received for so long that this node does not spread accusations of its own.
     isolated: bool,
-    /// Lifeguard's score: 0 is healthy, and timeouts grow with it.
+    /// Lifeguard's local health score: 0 is healthy; timeouts grow with it.
     local_health: u64,
-    /// When the next tick was asked for.
+    /// Time for which the next tick was requested.
     expected_tick: Option<Nanos>,
 
-    /// Number of the datagram sent last.
+    /// Sequence number of the last datagram sent.
     counter: u64,
-    /// Theoretical arrival time of the next datagram, by which floods are told (GCRA).
+    /// Theoretical arrival time of the next datagram, by which the rate is limited (GCRA).
     theoretical_arrival: Nanos,
-    /// Claims by another process of this name.
+    /// Number of times that another process has claimed this node's name.
     name_conflicts: u32,
-    /// The datagram at hand holds something of this node that it has already refuted.
+    /// The current datagram contains a record about this node that it has already refuted.
     sender_missed_refutation: bool,
     counts: Counts,
 }
 
 impl Membership {
-    /// Begins to look for the others at once. The same seed and events give the same actions.
+    /// Creates a node that starts to join at once. The same seed and events produce the same actions.
     pub fn new(me: Identity, tuning: Tuning, seed: u64, now: Nanos) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Nodes that start together do not go on in step.
+        // Random offsets keep nodes that start together from acting in lockstep.
         let next_probe = now + rng.u64(0..=tuning.probe_interval);
         let next_digest = now + rng.u64(0..=tuning.digest_interval);
         Membership {
@@ -134,7 +134,7 @@
             next_sweep: now + SWEEP_INTERVAL,
             probe_results: VecDeque::new(),
             majority: true,
-            last_heard: now,
+            last_received: now,
             isolated: false,
             local_health: 0,
             expected_tick: Some(now),
@@ -146,59 +146,59 @@
         }
     }
 
-    /// When it wants to be told that time has passed; none: never again.
+    /// Time at which the caller has to pass the next [`Event::Tick`]; `None` if the process has stopped.
     pub fn next_deadline(&self) -> Option<Nanos> {
         match self.lifecycle {
             Lifecycle::Stopped => return None,
             Lifecycle::Leaving { next_round, .. } => return Some(next_round),
             Lifecycle::Active => {}
         }
-        let mut due = self.next_digest.min(self.next_rejoin).min(self.next_sweep);
-        due = due.min(self.next_probe_step());
+        let mut deadline = self.next_digest.min(self.next_rejoin).min(self.next_sweep);
+        deadline = deadline.min(self.next_probe_step());
         if !self.broadcasts.is_empty() {
-            due = due.min(self.next_gossip);
+            deadline = deadline.min(self.next_gossip);
         }
         if !self.digest_replies.is_empty() {
-            due = due.min(self.next_digest_reply);
+            deadline = deadline.min(self.next_digest_reply);
         }
         let deadlines = [self.next_nack(), self.first_suspicion_deadline()];
-        Some(deadlines.into_iter().flatten().fold(due, Nanos::min))
+        Some(deadlines.into_iter().flatten().fold(deadline, Nanos::min))
     }
 
-    /// Takes note of an event. `now` is monotonic time and never less than before.
+    /// Processes an event and appends the resulting actions. `now` is monotonic time and must not decrease.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         if self.lifecycle == Lifecycle::Stopped {
             return;
         }
-        let late = self.expected_tick.map_or(0, |due| now.saturating_sub(due));
-        if late > STALL_THRESHOLD {
-            self.resume_after_stall(now, late);
+        let lateness = self.expected_tick.map_or(0, |expected| now.saturating_sub(expected));
+        if lateness > STALL_THRESHOLD {
+            self.resume_after_stall(now, lateness);
         }
         match event {
             Event::Datagram { from, bytes } => {
-                if let Err(fault) = self.receive(now, from, bytes, out) {
-                    self.count_dropped(fault);
+                if let Err(error) = self.receive(now, from, bytes, out) {
+                    self.count_dropped(error);
                 }
             }
             Event::Tick => self.tick(now, out),
             Event::Leave => self.leave(now, out),
         }
         self.update_majority(out);
-        // What has become due by an event is not late because of the time before it.
-        self.expected_tick = self.next_deadline().map(|due| due.max(now));
+        // A deadline that an event has moved into the past does not count as lateness.
+        self.expected_tick = self.next_deadline().map(|deadline| deadline.max(now));
     }
 
-    /// This process did nothing for that long: what did not come meanwhile says nothing about others.
-    fn resume_after_stall(&mut self, now: Nanos, late: Nanos) {
+    /// Recovers from a stall of this process: answers that are missing for that time say nothing about other members.
+    fn resume_after_stall(&mut self, now: Nanos, lateness: Nanos) {
         self.counts.stalls += 1;
         self.raise_local_health(STALL_PENALTY);
         self.probe = None;
         self.indirect_probes.clear();
         self.probe_results.clear();
-        self.last_heard = now;
+        self.last_received = now;
         self.isolated = false;
         self.next_probe = now + self.tuning.probe_interval;
-        self.postpone_suspicions(late);
+        self.postpone_suspicions(lateness);
     }
 
     fn tick(&mut self, now: Nanos, out: &mut Vec<Action>) {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Sends what is to be told to a few members, drawn.
+    /// Sends pending broadcasts to a few random members.
     fn gossip(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.next_gossip = now + self.tuning.gossip_interval;
         for name in self.sample_live(self.tuning.fan_out) {
@@ -237,21 +237,21 @@
         }
     }
 
-    fn count_dropped(&mut self, fault: DatagramError) {
-        *self.counts.dropped.entry(fault).or_default() += 1;
+    fn count_dropped(&mut self, error: DatagramError) {
+        *self.counts.dropped.entry(error).or_default() += 1;
     }
 
-    /// Notes a sign that this node itself is slow.
+    /// Raises the local health score after a sign that this node itself is slow.
     fn raise_local_health(&mut self, by: u64) {
         self.local_health = (self.local_health + by).min(MAX_LOCAL_HEALTH);
     }
 
-    /// By how much this node's timeouts are longer at present.
+    /// Factor by which this node's timeouts are currently extended.
     fn health_multiplier(&self) -> u64 {
         1 + self.local_health
     }
 
-    /// Drops what was derived from the view.
+    /// Clears the caches that are derived from the view.
     fn invalidate_caches(&mut self) {
         self.live_names = None;
         self.digest_sums = None;
--- a/crates/membership/src/machine/probing.rs
+++ b/crates/membership/src/machine/probing.rs
@@ -1,4 +1,4 @@
-//! Direct failure detection: one member after another is probed, in rounds of a drawn order.
+//! Direct failure detection: members are probed one after another, in rounds of random order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,34 +9,34 @@
 use crate::record::{Name, Record, Status};
 use crate::wire::{Body, DatagramError};
 
-/// Attempts of a probe: the first alone, the others with helpers.
+/// Number of attempts of a probe: the first is direct only, the others also use helpers.
 const PROBE_ATTEMPTS: u8 = 3;
-/// Silence of everybody after which a node takes itself to be at fault.
+/// Time without any datagram after which a node considers itself isolated.
 const ISOLATED_AFTER: Nanos = 1_000 * MS;
-/// Silence of everybody after which the others are accused all the same.
+/// Time without any datagram after which an isolated node accuses others all the same.
 const ACCUSE_ANYWAY_AFTER: Nanos = 6_000 * MS;
 
-/// A probe under way.
+/// A pending probe.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub number: u64,
     pub target: Name,
-    /// Drawn in its turn, not because it was accused: only such a probe tells of the fleet as a whole.
+    /// Whether the target was chosen by the round and not as a suspect. Only these probes sample the whole fleet.
     pub in_turn: bool,
     attempts: u8,
     next_step: Nanos,
     pub helpers: BTreeSet<Name>,
-    /// Any helper answered, if only that it has heard nothing.
+    /// Whether any helper has answered, even with a negative acknowledgement.
     helper_answered: bool,
 }
 
 impl Membership {
-    /// When the probe under way, or the next one, goes on.
+    /// Time of the next attempt or expiry of the pending probe, or else of the next probe.
     pub(super) fn next_probe_step(&self) -> Nanos {
         self.probe.as_ref().map_or(self.next_probe, |probe| probe.next_step)
     }
 
-    /// Goes on with the probe under way, or begins the next one, if it is time.
+    /// Continues the pending probe or starts the next one if it is due.
     pub(super) fn advance_probe(&mut self, now: Nanos, out: &mut Vec<Action>) {
         if let Some(mut probe) = self.probe.take() {
             if probe.next_step > now {
@@ -76,7 +76,7 @@
         self.last_probe_number
     }
 
-    /// The member to probe next, and whether it is its turn.
+    /// The next member to probe, and whether the round chose it.
     fn next_target(&mut self) -> Option<(Name, bool)> {
         while let Some(name) = self.checks.pop_front() {
             if self.suspects.contains(&name) {
@@ -99,15 +99,16 @@
         self.rng.shuffle(&mut self.probe_round);
     }
 
-    /// A node without a majority probes the dead as well: only that tells it when it has one again.
+    /// Whether the round includes this member. A node without a majority also probes dead members, because only that
+    /// shows when it has a majority again.
     fn is_probed(&self, peer: &Peer) -> bool {
         peer.is_live() || !self.majority && !matches!(peer.state, State::Left { .. })
     }
 
-    /// All members that did not leave.
+    /// Names of all members that have not left.
     fn remaining_names(&self) -> Vec<Name> {
-        let remains = |peer: &Peer| !matches!(peer.state, State::Left { .. });
-        self.peers.iter().filter(|(_, peer)| remains(peer)).map(|(name, _)| name.clone()).collect()
+        let has_not_left = |peer: &Peer| !matches!(peer.state, State::Left { .. });
+        self.peers.iter().filter(|(_, peer)| has_not_left(peer)).map(|(name, _)| name.clone()).collect()
     }
 
     fn attempt_probe(&mut self, now: Nanos, probe: &mut Probe, out: &mut Vec<Action>) {
@@ -125,32 +126,33 @@
         }
     }
 
-    /// Members to ask for a probe that does not go through: of other zones first, each zone once before any twice.
+    /// Chooses helpers for a probe: members of other zones first, and one of each zone before a second of any.
     fn choose_helpers(&mut self, probe: &Probe) -> Vec<Name> {
-        let mut able: Vec<Name> = self.live_names().to_vec();
-        able.retain(|name| {
+        let mut candidates: Vec<Name> = self.live_names().to_vec();
+        candidates.retain(|name| {
             *name != probe.target && !probe.helpers.contains(name) && !self.suspects.contains(name)
         });
-        self.rng.shuffle(&mut able);
-        let mut drawn_of_zone: BTreeMap<Name, usize> = BTreeMap::new();
+        self.rng.shuffle(&mut candidates);
+        let mut chosen_by_zone: BTreeMap<Name, usize> = BTreeMap::new();
         let mut ranked: Vec<(bool, usize, Name)> = Vec::new();
-        for name in able {
+        for name in candidates {
             let Some(peer) = self.peers.get(&name) else { continue };
-            let earlier = drawn_of_zone.entry(peer.profile.zone.clone()).or_default();
-            ranked.push((peer.profile.zone == self.me.profile.zone, *earlier, name));
-            *earlier += 1;
+            let chosen_before = chosen_by_zone.entry(peer.profile.zone.clone()).or_default();
+            ranked.push((peer.profile.zone == self.me.profile.zone, *chosen_before, name));
+            *chosen_before += 1;
         }
-        ranked.sort_by_key(|(own_zone, earlier, _)| (*own_zone, *earlier)); // stable: the order stays a drawn one
+        ranked.sort_by_key(|(own_zone, chosen_before, _)| (*own_zone, *chosen_before)); // a stable sort preserves the random order
         ranked.into_iter().take(self.tuning.helpers).map(|(_, _, name)| name).collect()
     }
 
     fn probe_failed(&mut self, now: Nanos, probe: &Probe, out: &mut Vec<Action>) {
         self.note_probe_result(probe, false);
         if !probe.helpers.is_empty() && !probe.helper_answered {
-            self.raise_local_health(1); // not one of them said even that it had no answer
+            self.raise_local_health(1); // not even a negative acknowledgement: this node may be slow
         }
-        // Whoever hears nobody at all is more likely to be at fault itself, for a while.
-        let silence = now.saturating_sub(self.last_heard);
+        // A node that receives nothing from anybody is more likely to be at fault itself, so it waits before it
+        // accuses.
+        let silence = now.saturating_sub(self.last_received);
         self.isolated = silence > ISOLATED_AFTER * self.health_multiplier();
         if self.isolated && silence < ACCUSE_ANYWAY_AFTER {
             return;
@@ -163,17 +165,17 @@
         self.merge(now, &record, None, out);
     }
 
-    /// An answer to a probe: to this node's own, or to one that it makes for another.
+    /// Handles the answer to a probe of this node or to an indirect probe.
     pub(super) fn handle_ack(
         &mut self, now: Nanos, from: &Name, number: u64, out: &mut Vec<Action>,
     ) -> Result<(), DatagramError> {
         if number == FINAL_PROBE {
             return Ok(());
         }
-        let answered = self.probe.take_if(|probe| {
+        let answered_probe = self.probe.take_if(|probe| {
             probe.number == number && (probe.target == *from || probe.helpers.contains(from))
         });
-        match answered {
+        match answered_probe {
             Some(probe) => {
                 self.probe_succeeded(now, &probe, out);
                 Ok(())
@@ -197,11 +199,11 @@
         self.announce(&record, Some("dead"), "alive", out);
     }
 
-    /// A helper says that it has asked and heard nothing so far.
+    /// Handles the negative acknowledgement of a helper.
     pub(super) fn handle_nack(&mut self, from: &Name, number: u64) -> Result<(), DatagramError> {
-        let own = self.probe.as_mut().filter(|probe| probe.number == number);
-        let asked = own.filter(|probe| probe.helpers.contains(from)).ok_or(DatagramError::Unexpected)?;
-        asked.helper_answered = true;
+        let probe = self.probe.as_mut().filter(|probe| probe.number == number);
+        let probe = probe.filter(|probe| probe.helpers.contains(from)).ok_or(DatagramError::Unexpected)?;
+        probe.helper_answered = true;
         Ok(())
     }
 }
--- a/crates/membership/src/machine/queries.rs
+++ b/crates/membership/src/machine/queries.rs
@@ -1,4 +1,4 @@
-//! What the rest of the program may ask.
+//! Read access to the view.
 
 use std::net::SocketAddr;
 
@@ -8,13 +8,13 @@
 use crate::peer::State;
 use crate::view::{Counts, Member, ViewSummary};
 
-/// Time within which a member was heard to count as heard.
-const HEARD_WITHIN: Nanos = 5_000 * MS;
+/// Time within which a datagram of a member counts as recent.
+const RECENT_WINDOW: Nanos = 5_000 * MS;
 
 impl Membership {
-    /// All members that are not forgotten, this one among them, by name.
+    /// All known members including this node, sorted by name.
     pub fn members(&self, now: Nanos) -> Vec<Member> {
-        let own = Member {
+        let own_member = Member {
             name: self.me.name.clone(),
             profile: self.me.profile.clone(),
             incarnation: self.incarnation,
@@ -28,19 +28,19 @@
             state: peer.state.name(),
             silent_for: peer.last_heard.map(|at| now.saturating_sub(at)),
         });
-        let mut all: Vec<Member> = others.chain([own]).collect();
-        all.sort_by(|a, b| a.name.cmp(&b.name));
-        all
+        let mut members: Vec<Member> = others.chain([own_member]).collect();
+        members.sort_by(|a, b| a.name.cmp(&b.name));
+        members
     }
 
-    /// How sure the view is.
+    /// Summary of how much of the fleet this node reaches.
     pub fn summary(&self, now: Nanos) -> ViewSummary {
-        let mut confidence = ViewSummary::of(&self.me.profile, self.peers.iter(), now, HEARD_WITHIN);
-        confidence.majority = self.majority;
-        confidence
+        let mut summary = ViewSummary::from_peers(&self.me.profile, self.peers.iter(), now, RECENT_WINDOW);
+        summary.majority = self.majority;
+        summary
     }
 
-    /// State of one member, by name.
+    /// State of the member with this name.
     pub fn state_of(&self, name: &str) -> Option<&'static str> {
         if *self.me.name == *name {
             return Some(self.own_state());
@@ -56,37 +56,37 @@
         }
     }
 
-    /// Whether this node hears more than half of what should be there.
+    /// Whether this node reaches more than half of the expected members.
     pub fn has_majority(&self) -> bool {
         self.majority
     }
 
-    /// Members that are alive, this node among them.
+    /// Number of members that are alive, including this node.
     pub fn alive_count(&self) -> usize {
         1 + self.peers.values().filter(|peer| peer.state == State::Alive).count()
     }
 
-    /// Whether this process takes part: it has neither left nor stood down.
+    /// Whether this process takes part: it has neither left nor been superseded.
     pub fn is_active(&self) -> bool {
         self.lifecycle == Lifecycle::Active
     }
 
-    /// This node's own number.
+    /// Incarnation of this node.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The number of this process among all of its name.
+    /// Run number of this process.
     pub fn run(&self) -> u64 {
         self.me.run
     }
 
-    /// What has been sent and heard.
+    /// Counters of the protocol since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Where live and dead members may be found again after a restart.
+    /// Addresses of all other members except those that have left, for use after a restart.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let others = self.peers.values().filter(|peer| !matches!(peer.state, State::Left { .. }));
         others.map(|peer| peer.profile.address).collect()
--- a/crates/membership/src/machine/receiving.rs
+++ b/crates/membership/src/machine/receiving.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come in: checked, counted, and handed to the part of the protocol that they belong to.
+//! Reception of datagrams: rate limit, validation, merging of records and dispatch by content.
 
 use std::net::SocketAddr;
 
@@ -9,9 +9,9 @@
 use crate::record::{Name, Record};
 use crate::wire::{decode_datagram, Body, DatagramError, Envelope};
 
-/// Time that one datagram stands for: 2,000 a second are read.
+/// Time that each datagram adds to the theoretical arrival time: at most 2,000 datagrams per second.
 const FLOOD_INTERVAL: Nanos = MS / 2;
-/// Datagrams that are read at once, as a time.
+/// Burst of 512 datagrams, expressed as time.
 const FLOOD_BURST: Nanos = 512 * FLOOD_INTERVAL;
 
 impl Membership {
@@ -22,14 +22,14 @@
         let (envelope, records) = decode_datagram(self.cluster, bytes)?;
         self.check_envelope(now, &envelope)?;
         self.counts.accepted += 1;
-        self.last_heard = now;
+        self.last_received = now;
         self.isolated = false;
         self.sender_missed_refutation = false;
         for record in &records {
             self.merge(now, record, Some(&envelope.from), out);
         }
         if self.lifecycle != Lifecycle::Active {
-            return Ok(()); // it has just stood down, or leaves
+            return Ok(()); // a record has superseded this process, or it is leaving
         }
         let Envelope { from: sender, run, body, .. } = envelope;
         let is_gossip = matches!(body, Body::Gossip);
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    /// Whether it is for this node, from another, and new.
+    /// Checks that the datagram is addressed to this node, comes from another process and is not a replay.
     fn check_envelope(&mut self, now: Nanos, envelope: &Envelope) -> Result<(), DatagramError> {
         if envelope.from == self.me.name && envelope.run == self.me.run {
             return Err(DatagramError::Own);
@@ -55,7 +55,7 @@
         if envelope.to.as_ref().is_some_and(|to| *to != self.me.name) {
             return Err(DatagramError::Misdirected);
         }
-        // Of another start than the one that is known nothing can be said; what it tells is merged as ever.
+        // Replays can be detected only for the known run of the sender; records of other runs are merged nevertheless.
         if let Some(peer) = self.peers.get_mut(&envelope.from).filter(|peer| peer.run == envelope.run) {
             if !peer.replay_window.accept(envelope.counter) {
                 return Err(DatagramError::Replayed);
@@ -82,24 +82,25 @@
         Ok(())
     }
 
-    /// Answers a probe; a sender that missed this node's refutation is told it again.
+    /// Answers a probe. If the sender has missed this node's refutation, the answer repeats it.
     fn handle_ping(&mut self, sender: &Name, address: SocketAddr, probe: u64, out: &mut Vec<Action>) {
         let refutation: Vec<Record> =
             self.sender_missed_refutation.then(|| self.own_record()).into_iter().collect();
         self.send(Some(sender), address, Body::Ack { probe }, &refutation, out);
     }
 
-    /// Who is held dead here, or has given way to another start, learns of it and can refute or stand down.
+    /// Informs a sender that is dead here, or whose run is not the stored one, so that it can refute or give up its
+    /// name.
     fn correct_sender(
         &mut self, sender: &Name, run: u64, address: SocketAddr, is_gossip: bool, out: &mut Vec<Action>,
     ) {
         let Some(peer) = self.peers.get(sender) else { return };
-        let other_start = peer.run != run;
-        let held_gone = is_gossip && !peer.is_live();
-        if !other_start && !held_gone {
+        let other_run = peer.run != run;
+        let sender_is_gone = is_gossip && !peer.is_live();
+        if !other_run && !sender_is_gone {
             return;
         }
-        let records = if other_start { peer.records(sender, &self.me.name) } else { Vec::new() };
+        let records = if other_run { peer.records(sender, &self.me.name) } else { Vec::new() };
         self.send(Some(sender), address, Body::Gossip, &records, out);
     }
 }
--- a/crates/membership/src/machine/sending.rs
+++ b/crates/membership/src/machine/sending.rs
@@ -1,4 +1,4 @@
-//! Datagrams that go out: drawn members, the envelope, and what is piggybacked on every datagram.
+//! Sending of datagrams: choice of receivers, the envelope, and the records that each datagram carries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,31 +9,32 @@
 use crate::wire::{encode_record, Body, DatagramWriter, Envelope};
 
 impl Membership {
-    /// Names of the members that take part, without this node's.
+    /// Names of all other members that are live.
     pub(super) fn live_names(&mut self) -> Arc<[Name]> {
         let peers = &self.peers;
-        let make = || peers.iter().filter(|(_, peer)| peer.is_live()).map(|(name, _)| name.clone()).collect();
-        self.live_names.get_or_insert_with(make).clone()
+        let collect_names =
+            || peers.iter().filter(|(_, peer)| peer.is_live()).map(|(name, _)| name.clone()).collect();
+        self.live_names.get_or_insert_with(collect_names).clone()
     }
 
-    /// So many live members, drawn.
+    /// Returns up to `count` different live members, chosen at random.
     pub(super) fn sample_live(&mut self, count: usize) -> Vec<Name> {
         let live = self.live_names();
-        let mut drawn: Vec<Name> = Vec::with_capacity(count);
-        // Draws that meet the same twice are rare and bounded.
+        let mut chosen: Vec<Name> = Vec::with_capacity(count);
+        // Repeated choices of one member are rare; the bound on attempts may return fewer members than wanted.
         for _ in 0..4 * count {
-            if drawn.len() >= count.min(live.len()) {
+            if chosen.len() >= count.min(live.len()) {
                 break;
             }
             let name = &live[self.rng.usize(0..live.len())];
-            if !drawn.contains(name) {
-                drawn.push(name.clone());
+            if !chosen.contains(name) {
+                chosen.push(name.clone());
             }
         }
-        drawn
+        chosen
     }
 
-    /// Begins a datagram to a member, or to whoever is at an address.
+    /// Starts a datagram to a member, or to an unknown receiver at an address.
     pub(super) fn begin_datagram(&mut self, to: Option<&Name>, body: Body) -> DatagramWriter {
         self.counter += 1;
         DatagramWriter::new(&Envelope {
@@ -50,7 +51,8 @@
     pub(super) fn finish_datagram(
         &mut self, to: SocketAddr, mut writer: DatagramWriter, out: &mut Vec<Action>,
     ) {
-        // Told as often as it takes for all to hear: twice the rounds in which one tells another.
+        // Twice the binary logarithm of the number of members: the number of rounds in which gossip reaches everybody,
+        // doubled.
         let max_transmissions = 2 * (usize::BITS - (self.peers.len() + 1).leading_zeros());
         self.broadcasts.fill(&mut writer, max_transmissions);
         let bytes = writer.finish();
@@ -59,14 +61,14 @@
         out.push(Action::Send { to, bytes });
     }
 
-    /// Sends to a member where it is held to be.
+    /// Sends to a member at its known address.
     pub(super) fn send_to(&mut self, name: &Name, body: Body, records: &[Record], out: &mut Vec<Action>) {
         if let Some(address) = self.peers.get(name).map(|peer| peer.profile.address) {
             self.send(Some(name), address, body, records, out);
         }
     }
 
-    /// Sends these records, what is held against the member it goes to, and broadcasts as there is room.
+    /// Sends a datagram with accusations against the receiver, these records, and broadcasts as far as there is room.
     pub(super) fn send(
         &mut self, name: Option<&Name>, address: SocketAddr, body: Body, records: &[Record],
         out: &mut Vec<Action>,
@@ -74,12 +76,12 @@
         let accusations = name.map_or_else(Vec::new, |name| self.accusations(name));
         let mut writer = self.begin_datagram(name, body);
         for record in accusations.iter().chain(records) {
-            writer.add(&encode_record(record)); // these few always fit
+            writer.add(&encode_record(record)); // these few records always fit
         }
         self.finish_datagram(address, writer, out);
     }
 
-    /// What is held against a member, so that it can refute it.
+    /// Records against a member, which it receives so that it can refute them.
     fn accusations(&self, name: &Name) -> Vec<Record> {
         let Some(peer) = self.peers.get(name).filter(|peer| peer.state != State::Alive) else {
             return Vec::new();
--- a/crates/membership/src/machine/suspicion.rs
+++ b/crates/membership/src/machine/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion: accusations, the time to refute them, and this node's refutation of those against itself.
+//! Suspicion: accusations, their expiry, and this node's refutation of accusations against itself.
 
 use super::indirect::FINAL_PROBE;
 use super::joining::Lifecycle;
@@ -10,15 +10,15 @@
 use crate::view::Change;
 use crate::wire::Body;
 
-/// Times that a suspect is asked itself before it is held dead.
+/// Number of final probes that a suspect receives before it is declared dead.
 const FINAL_PROBES: u8 = 3;
-/// Accusations to be checked that wait at once.
+/// Maximum number of suspects that wait for a check.
 const MAX_CHECKS: usize = 32;
-/// Claims of another process of this name, until it is sure to be alive.
+/// Number of claims after which the other process with this name is known to be alive.
 const MAX_NAME_CONFLICTS: u32 = 3;
 
 impl Membership {
-    /// Accusers beside the first that shorten the time to refute.
+    /// Number of accusers beside the first that shorten the suspicion to its minimum.
     fn wanted_confirmations(&self) -> usize {
         self.tuning.confirmations.min(self.peers.len().saturating_sub(2))
     }
@@ -27,7 +27,7 @@
         peer.deadline(&self.tuning, wanted_accusers, self.health_multiplier())
     }
 
-    /// When the first suspect's time to refute is over.
+    /// Time at which the first suspicion expires.
     pub(super) fn first_suspicion_deadline(&self) -> Option<Nanos> {
         let wanted = self.wanted_confirmations();
         let deadline =
@@ -35,7 +35,7 @@
         self.suspects.iter().filter_map(deadline).min()
     }
 
-    /// Gives suspects as much more time as this node did nothing.
+    /// Extends all suspicions by a time in which this node was stalled.
     pub(super) fn postpone_suspicions(&mut self, by: Nanos) {
         for name in &self.suspects {
             if let Some(peer) = self.peers.get_mut(name) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Holds an accusation of a member by `by`, and tells others of it.
+    /// Makes a member a suspect, or adds `by` to its accusers, and broadcasts the accusation.
     pub(super) fn accuse(&mut self, now: Nanos, record: &Record, by: Name, out: &mut Vec<Action>) {
         let wanted = self.wanted_confirmations();
         let live = self.live_names().len();
@@ -68,7 +68,7 @@
         self.broadcast_accusation(&accusation, &by);
     }
 
-    /// Some of those who hear of an accusation look for themselves, which is what confirms a death soon.
+    /// Schedules a check of a new suspect on a few randomly chosen members, which confirms a death early.
     fn maybe_schedule_check(&mut self, now: Nanos, suspect: &Name, by: &Name, live: usize) {
         let is_checker = *by != self.me.name && self.rng.usize(0..live.max(1)) < self.tuning.mean_checkers;
         if is_checker && self.checks.len() < MAX_CHECKS {
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Tells others, unless it is this node's own accusation and it hears nobody.
+    /// Broadcasts an accusation, unless it is this node's own and the node is isolated.
     fn broadcast_accusation(&mut self, accusation: &Record, by: &Name) {
         if !self.isolated || *by != self.me.name {
             self.broadcasts.add(accusation);
         }
     }
 
-    /// Asks suspects whose time is over a last few times, and holds them dead then.
+    /// Sends final probes to suspects whose time is over, and declares them dead after the last one.
     pub(super) fn expire_suspicions(&mut self, now: Nanos, out: &mut Vec<Action>) {
         for name in self.expired_suspects(now) {
             if !self.send_final_probe(now, &name, out) {
@@ -103,17 +103,18 @@
         self.suspects.iter().filter(is_expired).cloned().collect()
     }
 
-    /// Probes a suspect itself, whose refutation may be what did not come here: whoever is probed with an accusation
-    /// that it has refuted answers with what holds. False if it was asked often enough.
+    /// Sends a final probe to a suspect, whose refutation may have been lost on the way to this node: a probe carries
+    /// the accusation, and a member that has refuted it answers with its current record. Returns false if all final
+    /// probes have been sent.
     fn send_final_probe(&mut self, now: Nanos, name: &Name, out: &mut Vec<Action>) -> bool {
         let until = now + self.tuning.probe_timeout * self.health_multiplier();
         let Some(peer) = self.peers.get_mut(name) else { return false };
         let State::Suspect { final_probe, .. } = &mut peer.state else { return false };
-        let (asked, _) = final_probe.unwrap_or((0, now));
-        if asked >= FINAL_PROBES {
+        let (sent, _) = final_probe.unwrap_or((0, now));
+        if sent >= FINAL_PROBES {
             return false;
         }
-        *final_probe = Some((asked + 1, until));
+        *final_probe = Some((sent + 1, until));
         self.send_to(name, Body::Ping { probe: FINAL_PROBE }, &[], out);
         true
     }
@@ -126,19 +127,19 @@
         self.announce(&record, Some("suspect"), "dead", out);
     }
 
-    /// Others tell this node what they hold of it: what is not so is refuted.
+    /// Handles a record about this node itself, and refutes it if it is wrong.
     pub(super) fn merge_own(&mut self, record: &Record, out: &mut Vec<Action>) {
         if self.lifecycle != Lifecycle::Active {
             return;
         }
-        let is_other_start = record.run != self.me.run;
+        let is_other_run = record.run != self.me.run;
         match &record.status {
-            Status::Alive(_) if !is_other_start || record.precedence() <= self.own_record().precedence() => {
+            Status::Alive(_) if !is_other_run || record.precedence() <= self.own_record().precedence() => {
                 return
             }
             Status::Alive(_) => {
-                // One start of this node before it, or another process with its name. Only a living one goes on
-                // answering with ever greater numbers.
+                // The record comes from an earlier run of this node or from another process with its name. Only a live
+                // process keeps answering with higher incarnations.
                 self.name_conflicts += 1;
                 if self.name_conflicts >= MAX_NAME_CONFLICTS && record.run > self.me.run {
                     self.give_up_name(out);
@@ -149,7 +150,7 @@
                 self.sender_missed_refutation = true;
                 return;
             }
-            Status::Suspect { .. } | Status::Dead if !is_other_start => {
+            Status::Suspect { .. } | Status::Dead if !is_other_run => {
                 self.raise_local_health(1);
                 self.counts.refutations += 1;
             }
@@ -158,7 +159,7 @@
         self.refute(record.incarnation);
     }
 
-    /// Raises this node's own incarnation above the one that was told, and tells others.
+    /// Raises this node's incarnation above the given one and broadcasts the new record.
     fn refute(&mut self, incarnation: u64) {
         self.incarnation = incarnation + 1;
         self.digest_sums = None;
@@ -166,7 +167,7 @@
         self.broadcasts.add(&own);
     }
 
-    /// Leaves the name to the later process that has it.
+    /// Stops, because a later process has this node's name.
     fn give_up_name(&mut self, out: &mut Vec<Action>) {
         self.lifecycle = Lifecycle::Stopped;
         self.broadcasts = BroadcastQueue::default();
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,45 +1,45 @@
-//! What this node holds of one member.
+//! The state that this node stores for each other member.
 
 use crate::config::{Nanos, Tuning, MS};
 use crate::record::{Name, Profile, Record, Status};
 use crate::wire::ReplayWindow;
 
-const MIN_CALM: Nanos = 1_000 * MS; // after a first refutation
-const MAX_CALM: Nanos = 16_000 * MS;
-const FLAP_HALF_LIFE: Nanos = 60_000 * MS; // a refutation counts half as much after this
-const MAX_FLAPS: u32 = 5; // beyond which calm grows no further
+const MIN_IMMUNITY: Nanos = 1_000 * MS; // against accusations, after a first refutation
+const MAX_IMMUNITY: Nanos = 16_000 * MS;
+const FLAP_HALF_LIFE: Nanos = 60_000 * MS; // time in which one refutation is taken off the count
+const MAX_FLAPS: u32 = 5; // the immunity does not grow beyond this count
 
-/// Where a member stands in this node's view.
+/// State of a member in this node's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It is there.
+    /// The member is alive.
     Alive,
-    /// Accused.
+    /// The member is suspected.
     Suspect {
-        /// Since when.
+        /// Time at which the suspicion began.
         since: Nanos,
-        /// By whom, each once.
+        /// Names of the accusers, without duplicates.
         accusers: Vec<Name>,
-        /// How often it was asked itself since its time was over, and until when it has to answer the last time.
+        /// Number of final probes sent after the suspicion expired, and the time at which the latest one expires.
         final_probe: Option<(u8, Nanos)>,
     },
-    /// It did not refute in time.
+    /// The member did not refute the suspicion in time.
     Dead {
-        /// Since when.
+        /// Time at which the member was declared dead.
         since: Nanos,
-        /// Whether this node heard a majority then. If not, it may be the one that is cut off, and any word that the
-        /// member lives holds against it.
+        /// Whether this node had a majority at that time. Without one, this node may be the one that is cut off, so any
+        /// record that the member is alive overrides the death.
         had_majority: bool,
     },
-    /// It said that it leaves.
+    /// The member has announced that it leaves.
     Left {
-        /// Since when.
+        /// Time at which this node learned of it.
         since: Nanos,
     },
 }
 
 impl State {
-    /// As operators read it.
+    /// Name of the state as operators see it.
     pub fn name(&self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -50,20 +50,20 @@
     }
 }
 
-/// One member.
+/// Another member of the fleet.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// What it last said of itself.
+    /// Properties that the member last announced about itself.
     pub profile: Profile,
-    /// Its greatest number so far.
+    /// Highest known incarnation.
     pub incarnation: u64,
-    /// Its start.
+    /// Run number of its process.
     pub run: u64,
-    /// Where it stands.
+    /// State in this node's view.
     pub state: State,
-    /// When it was last heard itself.
+    /// Time of the last datagram from the member itself.
     pub last_heard: Option<Nanos>,
-    /// Which of its datagrams have come.
+    /// Detects datagrams of the member that have been received before.
     pub replay_window: ReplayWindow,
     immune_until: Nanos,
     flaps: u32,
@@ -71,7 +71,7 @@
 }
 
 impl Peer {
-    /// One of which nothing was known.
+    /// Returns a live member that was unknown before.
     pub fn new(profile: Profile, incarnation: u64, run: u64) -> Self {
         Peer {
             profile,
@@ -86,12 +86,13 @@
         }
     }
 
-    /// Whether it takes part: alive, or accused and not yet dead.
+    /// Whether the member takes part: it is alive, or suspected but not yet dead.
     pub fn is_live(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect { .. })
     }
 
-    /// As merging weighs it.
+    /// Sort key for merging, comparable with [`Record::precedence`]. A death that was declared without a majority ranks
+    /// as low as a live member and yields to any run of the same incarnation.
     pub fn precedence(&self) -> (u64, u8, u64) {
         let rank = match self.state {
             State::Alive => 0,
@@ -103,7 +104,8 @@
         (self.incarnation, rank, self.run)
     }
 
-    /// What is told of it. Of a suspect first that it lives, so that who knew nothing learns where it is.
+    /// The records that describe this member. For a suspect, a record that it is alive comes first, so that a receiver
+    /// that does not know the member learns its address.
     pub fn records(&self, name: &Name, me: &Name) -> Vec<Record> {
         let record =
             |status| Record { name: name.clone(), incarnation: self.incarnation, run: self.run, status };
@@ -118,35 +120,37 @@
         }
     }
 
-    /// When its time to refute is over, if it is accused. `wanted` further accusers shorten that to the least
-    /// (Lifeguard's formula); `slow` counts how much longer this node takes over everything.
-    pub fn deadline(&self, tuning: &Tuning, wanted: usize, slow: u64) -> Option<Nanos> {
+    /// Time at which the suspicion expires, or `None` if the member is not suspected. The time shrinks from the maximum
+    /// to the minimum as up to `wanted` further accusers confirm the suspicion (Lifeguard's formula). `slow` is the
+    /// multiplier for this node's own slowness.
+    pub fn deadline(&self, tuning: &Tuning, wanted: usize, multiplier: u64) -> Option<Nanos> {
         let State::Suspect { since, accusers, final_probe } = &self.state else { return None };
         if let Some((_, until)) = final_probe {
             return Some(*until);
         }
-        let further = accusers.len().saturating_sub(1) as f64;
-        let share = if wanted == 0 { 1.0 } else { (further + 1.0).ln() / (wanted as f64 + 1.0).ln() };
-        let (least, most) = (tuning.min_suspicion_time as f64, tuning.max_suspicion_time as f64);
-        let time = (most - (most - least) * share).max(least) as Nanos;
-        Some(since.saturating_add(time.saturating_mul(slow)))
+        let confirmations = accusers.len().saturating_sub(1) as f64;
+        let share = if wanted == 0 { 1.0 } else { (confirmations + 1.0).ln() / (wanted as f64 + 1.0).ln() };
+        let (min, max) = (tuning.min_suspicion_time as f64, tuning.max_suspicion_time as f64);
+        let time = (max - (max - min) * share).max(min) as Nanos;
+        Some(since.saturating_add(time.saturating_mul(multiplier)))
     }
 
-    /// Whether it has refuted so recently that accusations are not heard.
+    /// Whether the member has refuted an accusation so recently that further accusations are ignored.
     pub fn is_immune(&self, now: Nanos) -> bool {
         now < self.immune_until
     }
 
-    /// It has refuted an accusation, or come back from the dead.
+    /// Notes that the member has refuted an accusation or has come back to life, and makes it immune to accusations for
+    /// a time that grows with the number of recent refutations.
     pub fn record_refutation(&mut self, now: Nanos) {
-        let faded = now.saturating_sub(self.last_flap) / FLAP_HALF_LIFE;
-        self.flaps = self.flaps.saturating_sub(faded.min(u64::from(MAX_FLAPS)) as u32).min(MAX_FLAPS);
-        let calm = (MIN_CALM << self.flaps).min(MAX_CALM);
-        self.immune_until = now.saturating_add(calm);
+        let expired_flaps = now.saturating_sub(self.last_flap) / FLAP_HALF_LIFE;
+        self.flaps = self.flaps.saturating_sub(expired_flaps.min(u64::from(MAX_FLAPS)) as u32).min(MAX_FLAPS);
+        let immunity = (MIN_IMMUNITY << self.flaps).min(MAX_IMMUNITY);
+        self.immune_until = now.saturating_add(immunity);
         (self.flaps, self.last_flap) = (self.flaps + 1, now);
     }
 
-    /// Moves what is pending by a time in which this node did nothing.
+    /// Extends a pending suspicion by a time in which this node was stalled.
     pub fn postpone_suspicion(&mut self, by: Nanos) {
         if let State::Suspect { since, final_probe, .. } = &mut self.state {
             *since = since.saturating_add(by);
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,52 +1,52 @@
-//! What nodes tell each other of a member, and which of two records holds.
+//! Membership records that nodes exchange, and the order by which two records are merged.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A member's name: the same everywhere and over restarts.
+/// Name of a member. It is the same on all nodes and does not change with a restart.
 pub type Name = Arc<str>;
 
-/// Bytes of a name, zone, machine or version at most.
+/// Maximum length of a name, zone, machine or version, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
 
-/// Number of a member at most: it rises by one with each contradiction, so no honest one ever comes near.
+/// Upper bound of an incarnation. It rises by one with each refutation, so no honest member ever reaches it.
 pub const MAX_INCARNATION: u64 = 1 << 48;
 
-/// What a member says of itself.
+/// Properties that a member announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Profile {
-    /// Zone that it runs in.
+    /// Zone of the member.
     pub zone: Name,
-    /// Machine that it runs on.
+    /// Machine on which the member runs.
     pub machine: Name,
-    /// Where it hears datagrams.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Version of the program.
+    /// Version of its program.
     pub version: Name,
-    /// Least and greatest protocol that it speaks.
+    /// Lowest and highest protocol version that it supports.
     pub protocols: (u8, u8),
 }
 
-/// How a member fares.
+/// Status of a member as a record states it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
-    /// It is there.
+    /// The member is alive.
     Alive(Profile),
-    /// It did not answer this one.
+    /// The member did not answer a probe of the accuser.
     Suspect {
-        /// Whom.
+        /// Name of the accuser.
         by: Name,
     },
-    /// It did not refute in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// The member has announced that it leaves.
     Left,
 }
 
 impl Status {
-    /// Which of two statuses of one incarnation holds: the greater.
+    /// Rank among the statuses of one incarnation: the highest rank takes precedence.
     fn rank(&self) -> u8 {
         match self {
             Status::Alive(_) => 0,
@@ -57,36 +57,38 @@
     }
 }
 
-/// What is told of one member.
+/// A statement about one member, as nodes exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Of whom.
+    /// Name of the member that the record is about.
     pub name: Name,
-    /// How often the member has contradicted what was told of it: only it can raise this.
+    /// Incarnation of the member. Only the member itself raises it, by refuting a record about itself.
     pub incarnation: u64,
-    /// Which start of the member this is about.
+    /// Run number of the member's process that the record is about.
     pub run: u64,
-    /// How it fares.
+    /// Status of the member.
     pub status: Status,
 }
 
 impl Record {
-    /// What holds is the greatest: a total order, so records can be merged in any order and any number of times.
+    /// Sort key for merging: the record with the greatest key takes precedence. The order is total, so that records can
+    /// be merged in any order and any number of times.
     pub fn precedence(&self) -> (u64, u8, u64) {
         (self.incarnation, self.status.rank(), self.run)
     }
 
-    /// Whether no word in it is longer than allowed, and no number so high that its member could not contradict it.
+    /// Whether all texts have an allowed length, the protocol range is not reversed, and the incarnation is low enough
+    /// for the member to refute the record.
     pub fn is_valid(&self) -> bool {
-        let fits = |word: &Name| !word.is_empty() && word.len() <= MAX_TEXT_BYTES;
+        let is_valid_text = |text: &Name| !text.is_empty() && text.len() <= MAX_TEXT_BYTES;
         self.incarnation < MAX_INCARNATION
-            && fits(&self.name)
+            && is_valid_text(&self.name)
             && match &self.status {
                 Status::Alive(profile) => {
-                    let of_itself = [&profile.zone, &profile.machine, &profile.version];
-                    of_itself.into_iter().all(fits) && profile.protocols.0 <= profile.protocols.1
+                    let texts = [&profile.zone, &profile.machine, &profile.version];
+                    texts.into_iter().all(is_valid_text) && profile.protocols.0 <= profile.protocols.1
                 }
-                Status::Suspect { by } => fits(by),
+                Status::Suspect { by } => is_valid_text(by),
                 Status::Dead | Status::Left => true,
             }
     }
--- a/crates/membership/src/saved.rs
+++ b/crates/membership/src/saved.rs
@@ -1,4 +1,4 @@
-//! What a node keeps on its disk to find the fleet again.
+//! The file in which a node saves the addresses of other members, so that it finds the fleet again after a restart.
 
 use std::net::SocketAddr;
 
@@ -7,29 +7,29 @@
 
 use crate::config::{Nanos, MS};
 
-/// Addresses kept at most.
+/// Maximum number of saved addresses.
 pub const MAX_ADDRESSES: usize = 4_096;
-/// Version of the form, for the file's head.
+/// Version of the format, for the header of the file.
 pub const SAVED_FORMAT_VERSION: u8 = 1;
-/// So long a disk may take over a start until the node joins without it.
+/// Time that a disk may take for loading at the start; after it the node joins without the saved state.
 pub const LOAD_TIMEOUT: Nanos = 5_000 * MS;
-/// Time between writes of the view, while it changes.
+/// Minimum time between two writes of the view while it changes.
 pub const SAVE_INTERVAL: Nanos = 5_000 * MS;
 
-/// As it stands on the disk.
+/// Content of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedState {
-    /// The fleet.
+    /// Name of the fleet.
     pub cluster: String,
-    /// How often the node has started.
+    /// Number of starts of the node so far.
     pub starts: u32,
-    /// Where members were last seen.
+    /// Last known addresses of other members.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl SavedState {
-    /// The same for a further start in this fleet. What was kept of another fleet is forgotten, its count of starts
-    /// not: it only ever rises.
+    /// Returns the state for one more start in this fleet. Addresses of another fleet are dropped, but the number of
+    /// starts is kept, because run numbers must never fall.
     pub fn into_next_start(mut self, cluster: &str) -> Self {
         if self.cluster != cluster {
             (self.cluster, self.addresses) = (cluster.to_owned(), Vec::new());
@@ -39,13 +39,14 @@
         self
     }
 
-    /// The number of this start: greater than of any before on this disk, and else a drawn one.
+    /// The run number of this start: the number of starts in the upper half, which makes it greater than all earlier
+    /// ones on this disk, and a random number in the lower half.
     pub fn run_number(&self, random: u32) -> u64 {
         u64::from(self.starts) << 32 | u64::from(random)
     }
 }
 
-/// The file of one node, on whatever disk.
+/// The state file of one node, independent of the disk that it is stored on.
 #[derive(Clone, Debug)]
 pub struct SavedFile {
     file: File,
@@ -53,40 +54,41 @@
 }
 
 impl SavedFile {
-    /// Of the node of this name, in this fleet.
+    /// The file of the node with this name in this fleet.
     pub fn new(name: &str, cluster: &str) -> Self {
         SavedFile { file: File::new("fleet", name, SAVED_FORMAT_VERSION), cluster: cluster.to_owned() }
     }
 
-    /// Its name in the folder.
+    /// Name of the file in its folder.
     pub fn name(&self) -> &str {
         self.file.name()
     }
 
-    /// Counts a start, durably, and returns what was kept, with what the disk did wrong. A file that cannot be read
-    /// may hold a greater count than this one, so nothing is written over it.
+    /// Increments the number of starts durably, and returns the saved state together with the errors of the disk. A
+    /// file that cannot be read is not overwritten, because it may contain a higher number of starts.
     pub fn record_start(&self, disk: &dyn Disk) -> (SavedState, Vec<StoreError>) {
-        let (kept, unread) = match self.file.load::<SavedState>(disk) {
-            Ok(kept) => (kept, None),
-            Err(fault) => (None, Some(fault)),
+        let (saved, read_error) = match self.file.load::<SavedState>(disk) {
+            Ok(saved) => (saved, None),
+            Err(error) => (None, Some(error)),
         };
-        let saved = kept.unwrap_or_default().into_next_start(&self.cluster);
-        let mut faults: Vec<StoreError> = unread.into_iter().collect();
-        if !faults.iter().any(|fault| matches!(fault, StoreError::Io { .. })) {
-            faults.extend(self.file.save(disk, &saved).err());
+        let saved = saved.unwrap_or_default().into_next_start(&self.cluster);
+        let mut errors: Vec<StoreError> = read_error.into_iter().collect();
+        if !errors.iter().any(|error| matches!(error, StoreError::Io { .. })) {
+            errors.extend(self.file.save(disk, &saved).err());
         }
-        (saved, faults)
+        (saved, errors)
     }
 
-    /// Keeps the addresses of others. The count of starts on the disk never falls: a successor may have counted, or
-    /// this process never read what was there.
+    /// Saves the addresses of other members. The number of starts on the disk never falls: a later process may have
+    /// incremented it, or this process may have failed to read it.
     pub fn save(&self, disk: &dyn Disk, starts: u32, addresses: Vec<SocketAddr>) -> Result<(), StoreError> {
-        let on_disk = match self.file.load::<SavedState>(disk) {
-            Ok(kept) => kept.map_or(0, |kept| kept.starts),
-            Err(StoreError::Unusable(_)) => 0, // set aside: there is nothing left to be believed
-            Err(fault) => return Err(fault),
+        let starts_on_disk = match self.file.load::<SavedState>(disk) {
+            Ok(saved) => saved.map_or(0, |saved| saved.starts),
+            Err(StoreError::Unusable(_)) => 0, // the damaged file was set aside, so no number of starts is left
+            Err(error) => return Err(error),
         };
-        let saved = SavedState { cluster: self.cluster.clone(), starts: starts.max(on_disk), addresses };
+        let saved =
+            SavedState { cluster: self.cluster.clone(), starts: starts.max(starts_on_disk), addresses };
         self.file.save(disk, &saved)
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! What the rest of the program is told.
+//! The view of the fleet that other parts of the program read.
 
 use std::collections::BTreeMap;
 
@@ -6,106 +6,107 @@
 use crate::peer::{Peer, State};
 use crate::record::{Name, Profile};
 
-/// A member as others see it.
+/// A member as this node sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub name: Name,
-    /// What it says of itself.
+    /// Properties that the member has announced about itself.
     pub profile: Profile,
-    /// Its number.
+    /// Highest known incarnation of the member.
     pub incarnation: u64,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: &'static str,
-    /// Nanoseconds since it was last heard itself; none: never.
+    /// Nanoseconds since the last datagram from the member itself; `None` if there was none.
     pub silent_for: Option<Nanos>,
 }
 
-/// One zone in the view.
+/// Number of members of one zone by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneCounts {
     /// Members that are alive.
     pub alive: usize,
-    /// Members that are accused.
+    /// Members that are suspected.
     pub suspect: usize,
     /// Members that are dead.
     pub dead: usize,
-    /// Members heard themselves in the last 5 s.
+    /// Members from which a datagram was received in the last 5 s.
     pub recently_heard: usize,
 }
 
-/// How much of the fleet this node hears. Another node's may differ at any time.
+/// Summary of how much of the fleet this node reaches. The summary of another node may differ at any time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ViewSummary {
-    /// By zone.
+    /// Member counts by zone.
     pub zones: BTreeMap<Name, ZoneCounts>,
-    /// Members that are there, this node among them.
+    /// Number of members that are alive, including this node.
     pub alive: usize,
-    /// All that should be: those that left are not counted.
+    /// Number of expected members: all known members except those that have left.
     pub known: usize,
-    /// Whether more than half of all that should be are there. Without it nobody may decide for others.
+    /// Whether this node reaches more than half of the expected members. A node without a majority must not make
+    /// decisions for others.
     pub majority: bool,
 }
 
 impl ViewSummary {
-    pub(crate) fn of<'a>(
+    pub(crate) fn from_peers<'a>(
         me: &Profile, peers: impl Iterator<Item = (&'a Name, &'a Peer)>, now: Nanos, window: Nanos,
     ) -> Self {
-        let mut of = ViewSummary { alive: 1, known: 1, ..ViewSummary::default() };
-        of.zones.entry(me.zone.clone()).or_default().alive += 1;
+        let mut summary = ViewSummary { alive: 1, known: 1, ..ViewSummary::default() };
+        summary.zones.entry(me.zone.clone()).or_default().alive += 1;
         for (_, peer) in peers {
             if matches!(peer.state, State::Left { .. }) {
                 continue;
             }
-            let zone = of.zones.entry(peer.profile.zone.clone()).or_default();
+            let zone = summary.zones.entry(peer.profile.zone.clone()).or_default();
             match peer.state {
                 State::Alive => zone.alive += 1,
                 State::Suspect { .. } => zone.suspect += 1,
                 _ => zone.dead += 1,
             }
-            of.known += 1;
-            of.alive += usize::from(peer.state == State::Alive);
+            summary.known += 1;
+            summary.alive += usize::from(peer.state == State::Alive);
             zone.recently_heard +=
                 usize::from(peer.last_heard.is_some_and(|at| now.saturating_sub(at) <= window));
         }
-        of.majority = 2 * of.alive > of.known;
-        of
+        summary.majority = 2 * summary.alive > summary.known;
+        summary
     }
 }
 
-/// Something that changed in this node's view.
+/// A change of this node's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member now stands there: `alive`, `suspect`, `dead`, `left` or `forgotten`.
+    /// The state of a member has changed.
     Member {
-        /// Who.
+        /// Name of the member.
         name: Name,
-        /// Where it stood; none: nothing was known of it.
+        /// Previous state; `None` if the member was unknown.
         was: Option<&'static str>,
-        /// Where it stands.
+        /// New state: `alive`, `suspect`, `dead`, `left` or `forgotten`.
         is: &'static str,
     },
-    /// Whether this node hears more than half of the fleet.
+    /// Whether this node reaches more than half of the fleet.
     Majority(bool),
-    /// Another process has this name and keeps it: this one is out of the fleet.
+    /// Another process with this name and a higher run number is alive, so this process has left the fleet.
     Superseded,
 }
 
-/// What has been sent and heard since the start.
+/// Counters of the protocol since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Number of bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams that had an effect.
+    /// Number of datagrams that were accepted.
     pub accepted: u64,
-    /// Datagrams that had none, by reason.
+    /// Number of datagrams that were dropped, by reason.
     pub dropped: BTreeMap<crate::wire::DatagramError, u64>,
-    /// Times that this node accused another.
+    /// Number of times that this node accused another.
     pub accusations: u64,
-    /// Times that this node contradicted what was told of it.
+    /// Number of times that this node refuted a record about itself.
     pub refutations: u64,
-    /// Times that this node found itself held up.
+    /// Number of times that this process was stalled beyond [`STALL_THRESHOLD`](crate::STALL_THRESHOLD).
     pub stalls: u64,
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,7 +1,7 @@
-//! Datagrams between members.
+//! Wire format of the datagrams between members.
 //!
-//! Two bytes of mark, one of version, four of a checksum (CRC-32C) over the rest, which is an [`Envelope`] and then
-//! records up to the end, all in postcard's form.
+//! A datagram begins with two magic bytes, one byte of protocol version and a four-byte checksum (CRC-32C) of the rest.
+//! The rest is an [`Envelope`] followed by records up to the end, all encoded with postcard.
 
 use std::net::SocketAddr;
 
@@ -9,97 +9,98 @@
 
 use crate::record::{Name, Record, MAX_TEXT_BYTES};
 
-/// Bytes of a datagram at most: fits any path without fragments.
+/// Maximum size of a datagram in bytes. Datagrams of this size are not fragmented on common network paths.
 pub const MAX_DATAGRAM: usize = 1_200;
-/// Version of the form.
+/// Version of the wire format.
 pub const PROTOCOL_VERSION: u8 = 1;
-const MARK: [u8; 2] = *b"mf";
-const HEADER: usize = 7; // mark, version, checksum
+const MAGIC: [u8; 2] = *b"mf";
+const HEADER_BYTES: usize = 7; // magic bytes, version and checksum
 
-/// What every datagram begins with.
+/// The first part of every datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Which fleet this is: others are not heard.
+    /// Hash of the fleet's name; datagrams of other fleets are dropped.
     pub cluster: u64,
-    /// Who sends.
+    /// Name of the sender.
     pub from: Name,
-    /// The sender's start.
+    /// Run number of the sender.
     pub run: u64,
-    /// Counts the sender's datagrams, so that a repeat is known for one.
+    /// Sequence number of the datagram, by which replayed datagrams are detected.
     pub counter: u64,
-    /// For whom it is; none where the sender knows only an address.
+    /// Name of the receiver; `None` if the sender knows only an address.
     pub to: Option<Name>,
-    /// What it is about.
+    /// Content of the datagram.
     pub body: Body,
 }
 
-/// What a datagram is about, beside the records that it carries.
+/// Content of a datagram beside the records that it carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Are you there?
+    /// A probe of the receiver.
     Ping {
         /// Number of the probe.
         probe: u64,
     },
-    /// I am.
+    /// The answer to a probe.
     Ack {
-        /// The probe that is answered.
+        /// Number of the probe that is answered.
         probe: u64,
     },
-    /// Ask that one for me.
+    /// Asks the receiver to probe a third member (SWIM's ping-req).
     Ask {
         /// Number of the probe.
         probe: u64,
-        /// Whom to ask.
+        /// Name of the member to probe.
         target: Name,
-        /// Where it was last heard to be.
+        /// Address of the member as the sender knows it.
         address: SocketAddr,
     },
-    /// I asked it and had no answer so far.
+    /// Sent by a helper that has received no answer from the target so far.
     Nack {
-        /// The probe that it belongs to.
+        /// Number of the probe in the corresponding `Ask`.
         probe: u64,
     },
-    /// Records only.
+    /// No content beside the records.
     Gossip,
-    /// Sums over the sender's live members, a bucket each; whoever differs sends what it has there.
+    /// Checksums of the sender's live members by bucket. The receiver replies with its members of each bucket that
+    /// differs.
     Digest {
-        /// The sums.
+        /// One checksum for each bucket.
         sums: Vec<u32>,
-        /// Whether the other's sums are wanted.
+        /// Whether the receiver's checksums are expected in return.
         answer: bool,
     },
 }
 
-/// Why a datagram has no effect.
+/// The reason why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DatagramError {
-    /// Cut short, or not of this form at all.
+    /// The datagram is truncated or does not have this format.
     Malformed,
-    /// Longer than any that this program sends.
+    /// The datagram exceeds [`MAX_DATAGRAM`].
     Long,
-    /// Its checksum does not fit.
+    /// The checksum does not match.
     Checksum,
-    /// Of another version of the form.
+    /// The datagram has another protocol version.
     Version,
-    /// Of another fleet.
+    /// The datagram belongs to another fleet.
     Foreign,
-    /// Says that this very process sent it.
+    /// The datagram names this very process as its sender.
     Own,
-    /// For somebody else.
+    /// The datagram is addressed to another member.
     Misdirected,
-    /// Came before, or is older than what came since.
+    /// The datagram was received before or is too old to tell.
     Replayed,
-    /// More than are read in the time.
+    /// The datagram exceeds the rate limit or the capacity of a queue.
     Flood,
-    /// Answers what was not asked.
+    /// The datagram answers a probe that is not pending.
     Unexpected,
-    /// Of a member for which the view has no room.
+    /// The record adds a member for which the view has no room.
     Full,
 }
 
 impl DatagramError {
-    /// Every one, in order.
+    /// All errors in the order of their definition.
     pub const ALL: [DatagramError; 11] = [
         DatagramError::Malformed,
         DatagramError::Long,
@@ -114,7 +115,7 @@
         DatagramError::Full,
     ];
 
-    /// As figures and logs name it.
+    /// Name of the error in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             DatagramError::Malformed => "malformed",
@@ -132,21 +133,21 @@
     }
 }
 
-/// A datagram in the making: an envelope, and records while there is room.
+/// Encodes a datagram: an envelope, followed by records while there is room.
 pub struct DatagramWriter(Vec<u8>);
 
 impl DatagramWriter {
-    /// Begins with the envelope.
+    /// Encodes the envelope.
     pub fn new(envelope: &Envelope) -> Self {
         let mut bytes = Vec::with_capacity(MAX_DATAGRAM);
-        bytes.extend(MARK);
+        bytes.extend(MAGIC);
         bytes.push(PROTOCOL_VERSION);
         bytes.extend([0; 4]);
-        // Writing into memory can fail only for lack of it.
+        // Encoding into a growing vector cannot fail.
         DatagramWriter(postcard::to_extend(envelope, bytes).unwrap_or_default())
     }
 
-    /// Adds an encoded record; false if there is no room for it.
+    /// Appends an encoded record; returns false if there is no room for it.
     pub fn add(&mut self, record: &[u8]) -> bool {
         let fits = self.0.len() + record.len() <= MAX_DATAGRAM;
         if fits {
@@ -155,27 +156,27 @@
         fits
     }
 
-    /// The whole.
+    /// Computes the checksum and returns the datagram.
     pub fn finish(mut self) -> Vec<u8> {
-        if let Some((header, rest)) = self.0.split_at_mut_checked(HEADER) {
+        if let Some((header, rest)) = self.0.split_at_mut_checked(HEADER_BYTES) {
             header[3..].copy_from_slice(&crc32c::crc32c(rest).to_le_bytes());
         }
         self.0
     }
 }
 
-/// A record as it travels.
+/// Encodes a record for [`DatagramWriter::add`].
 pub fn encode_record(record: &Record) -> Vec<u8> {
     postcard::to_stdvec(record).unwrap_or_default()
 }
 
-/// Reads a datagram for this fleet. Nothing of it is believed unless all of it can be read.
+/// Decodes a datagram of this fleet. All of it has to be valid; otherwise nothing of it is used.
 pub fn decode_datagram(cluster: u64, bytes: &[u8]) -> Result<(Envelope, Vec<Record>), DatagramError> {
     if bytes.len() > MAX_DATAGRAM {
         return Err(DatagramError::Long);
     }
-    let (header, rest) = bytes.split_at_checked(HEADER).ok_or(DatagramError::Malformed)?;
-    if header[..2] != MARK {
+    let (header, rest) = bytes.split_at_checked(HEADER_BYTES).ok_or(DatagramError::Malformed)?;
+    if header[..2] != MAGIC {
         return Err(DatagramError::Malformed);
     }
     if header[2] != PROTOCOL_VERSION {
@@ -194,18 +195,18 @@
     }
     let mut records = Vec::new();
     while !rest.is_empty() {
-        let (record, left): (Record, _) =
+        let (record, remaining): (Record, _) =
             postcard::take_from_bytes(rest).map_err(|_| DatagramError::Malformed)?;
         if !record.is_valid() {
             return Err(DatagramError::Malformed);
         }
         records.push(record);
-        rest = left;
+        rest = remaining;
     }
     Ok((envelope, records))
 }
 
-/// Knows which of a sender's datagrams have come: the last 64 by number.
+/// Detects replayed datagrams of one sender among the 64 most recent sequence numbers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplayWindow {
     newest: u64,
@@ -213,18 +214,18 @@
 }
 
 impl ReplayWindow {
-    /// Whether this number is new; it is not from then on.
+    /// Returns whether this sequence number is new, and marks it as received.
     pub fn accept(&mut self, counter: u64) -> bool {
         if counter > self.newest {
-            let ahead = counter - self.newest;
-            self.seen = if ahead < 64 { self.seen << ahead } else { 0 } | 1;
+            let distance = counter - self.newest;
+            self.seen = if distance < 64 { self.seen << distance } else { 0 } | 1;
             self.newest = counter;
             return true;
         }
-        let back = self.newest - counter;
-        let bit = 1u64.checked_shl(back.min(64) as u32).unwrap_or(0);
-        let new = bit != 0 && self.seen & bit == 0;
+        let age = self.newest - counter;
+        let bit = 1u64.checked_shl(age.min(64) as u32).unwrap_or(0);
+        let is_new = bit != 0 && self.seen & bit == 0;
         self.seen |= bit;
-        new
+        is_new
     }
 }
--- a/crates/membership/tests/laws.rs
+++ b/crates/membership/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Laws of the machine that need no fleet.
+//! Invariants of the state machine of one node.
 
 use std::net::SocketAddr;
 
@@ -10,12 +10,11 @@
 }
 
 fn profile(n: u16) -> Profile {
-    let word = |w: &str| w.into();
     Profile {
-        zone: word("a"),
-        machine: word("m"),
+        zone: "a".into(),
+        machine: "m".into(),
         address: address(n),
-        version: word("1"),
+        version: "1".into(),
         protocols: (1, 1),
     }
 }
@@ -64,9 +63,9 @@
 }
 
 proptest! {
-    /// No bytes at all bring the machine down, and none that are not a whole datagram of this fleet change its view.
+    /// Arbitrary, corrupted and truncated bytes neither cause a panic nor change the view.
     #[test]
-    fn bytes_that_are_no_datagram_have_no_effect(
+    fn invalid_datagrams_are_dropped_without_effect(
         bytes in prop::collection::vec(any::<u8>(), 0..1_400), at in 0usize..200, bit in 0u8..8
     ) {
         let mut one = node("one", 1, 1);
@@ -74,23 +73,23 @@
         one.handle(0, Event::Datagram { from: address(2), bytes: &bytes }, &mut out);
         prop_assert!(out.is_empty());
         let record = Record { name: "two".into(), incarnation: 1, run: 1, status: Status::Alive(profile(2)) };
-        let mut good = datagram(&envelope("two", 1, Body::Gossip), &[record]);
-        let at = at % good.len();
-        good[at] ^= 1 << bit;
-        one.handle(0, Event::Datagram { from: address(2), bytes: &good }, &mut out);
+        let mut valid = datagram(&envelope("two", 1, Body::Gossip), &[record]);
+        let at = at % valid.len();
+        valid[at] ^= 1 << bit;
+        one.handle(0, Event::Datagram { from: address(2), bytes: &valid }, &mut out);
         prop_assert!(one.members(0).len() == 1 && out.is_empty());
-        good[at] ^= 1 << bit;
-        one.handle(0, Event::Datagram { from: address(2), bytes: &good[..at] }, &mut out);
+        valid[at] ^= 1 << bit;
+        one.handle(0, Event::Datagram { from: address(2), bytes: &valid[..at] }, &mut out);
         prop_assert!(one.members(0).len() == 1 && out.is_empty());
         prop_assert_eq!(one.counts().dropped.values().sum::<u64>(), 3);
-        one.handle(0, Event::Datagram { from: address(2), bytes: &good }, &mut out);
+        one.handle(0, Event::Datagram { from: address(2), bytes: &valid }, &mut out);
         prop_assert_eq!(one.members(0).len(), 2);
     }
 
-    /// What holds of a member never goes back, in whatever order records come: its number does not fall, and once all
-    /// records have come four times (a death first accuses), one more round of them changes nothing.
+    /// Merging converges in any order of records: no incarnation ever falls, and after four rounds of all records (a
+    /// death makes its member a suspect first) a fifth round changes nothing.
     #[test]
-    fn records_never_take_a_view_back(records in prop::collection::vec(records(), 1..40)) {
+    fn merging_is_monotonic_and_converges(records in prop::collection::vec(records(), 1..40)) {
         let mut one = node("one", 1, 1);
         let (mut out, mut counter) = (Vec::new(), 0);
         let mut last = std::collections::BTreeMap::new();
@@ -100,54 +99,54 @@
             }
             for record in &records {
                 counter += 1;
-                let bytes = datagram(&envelope("teller", counter, Body::Gossip), std::slice::from_ref(record));
+                let bytes = datagram(&envelope("reporter", counter, Body::Gossip), std::slice::from_ref(record));
                 one.handle(0, Event::Datagram { from: address(9), bytes: &bytes }, &mut out);
                 for member in one.members(0) {
-                    let had = last.insert(member.name.clone(), member.incarnation).unwrap_or(0);
-                    prop_assert!(had <= member.incarnation, "{member:?}");
+                    let previous = last.insert(member.name.clone(), member.incarnation).unwrap_or(0);
+                    prop_assert!(previous <= member.incarnation, "{member:?}");
                 }
             }
         }
         prop_assert!(!out.iter().any(|action| matches!(action, Action::Changed(_))), "{out:?}");
     }
 
-    /// A window takes each number once, whatever comes in between.
+    /// The replay window accepts each sequence number at most once, and rejects no new one that is recent enough.
     #[test]
-    fn a_window_takes_no_number_twice(numbers in prop::collection::vec(0u64..200, 1..300)) {
-        let (mut window, mut taken) = (ReplayWindow::default(), std::collections::BTreeSet::new());
+    fn replay_window_accepts_each_number_once(numbers in prop::collection::vec(0u64..200, 1..300)) {
+        let (mut window, mut accepted_numbers) = (ReplayWindow::default(), std::collections::BTreeSet::new());
         for number in numbers {
-            let newest = taken.last().copied().unwrap_or(0);
-            let took = window.accept(number);
-            prop_assert!(!took || taken.insert(number), "{number} twice");
-            prop_assert!(took || taken.contains(&number) || number == 0 || newest >= number + 64);
+            let newest = accepted_numbers.last().copied().unwrap_or(0);
+            let is_accepted = window.accept(number);
+            prop_assert!(!is_accepted || accepted_numbers.insert(number), "{number} was accepted twice");
+            prop_assert!(is_accepted || accepted_numbers.contains(&number) || number == 0 || newest >= number + 64);
         }
     }
 }
 
 #[test]
-fn what_is_foreign_own_misdirected_or_replayed_is_counted_and_has_no_effect() {
+fn foreign_own_misdirected_and_replayed_datagrams_are_counted_and_have_no_effect() {
     let alive = Record { name: "two".into(), incarnation: 1, run: 1, status: Status::Alive(profile(2)) };
-    let of = |change: fn(&mut Envelope)| {
+    let datagram_with = |change: fn(&mut Envelope)| {
         let mut envelope = envelope("two", 1, Body::Gossip);
         change(&mut envelope);
         datagram(&envelope, std::slice::from_ref(&alive))
     };
-    let mut newer = of(|_| ());
-    newer[2] = PROTOCOL_VERSION + 1;
-    for (bytes, fault) in [
-        (of(|e| e.cluster += 1), DatagramError::Foreign),
-        (of(|e| e.from = "one".into()), DatagramError::Own),
-        (of(|e| e.to = Some("three".into())), DatagramError::Misdirected),
-        (newer, DatagramError::Version),
+    let mut newer_version = datagram_with(|_| ());
+    newer_version[2] = PROTOCOL_VERSION + 1;
+    for (bytes, error) in [
+        (datagram_with(|e| e.cluster += 1), DatagramError::Foreign),
+        (datagram_with(|e| e.from = "one".into()), DatagramError::Own),
+        (datagram_with(|e| e.to = Some("three".into())), DatagramError::Misdirected),
+        (newer_version, DatagramError::Version),
         (vec![0; MAX_DATAGRAM + 1], DatagramError::Long),
-        (of(|e| e.body = Body::Ack { probe: 77 }), DatagramError::Unexpected),
+        (datagram_with(|e| e.body = Body::Ack { probe: 77 }), DatagramError::Unexpected),
     ] {
         let (mut one, mut out) = (node("one", 1, 1), Vec::new());
         one.handle(0, Event::Datagram { from: address(2), bytes: &bytes }, &mut out);
-        assert_eq!(one.counts().dropped.get(&fault), Some(&1), "{fault:?}");
+        assert_eq!(one.counts().dropped.get(&error), Some(&1), "{error:?}");
         assert!(
-            fault == DatagramError::Unexpected || one.members(0).len() == 1 && out.is_empty(),
-            "{fault:?}"
+            error == DatagramError::Unexpected || one.members(0).len() == 1 && out.is_empty(),
+            "{error:?}"
         );
     }
     let (mut one, mut out) = (node("one", 1, 1), Vec::new());
@@ -160,22 +159,24 @@
     assert!(out.is_empty() && one.counts().dropped.get(&DatagramError::Replayed) == Some(&1));
 }
 
-/// Guards the contradiction: a number beyond which there is none is no number.
+/// Guards refutation: against a record with the highest incarnation its member could not announce a higher one.
 #[test]
-fn a_number_that_could_not_be_contradicted_is_refused() {
-    for (incarnation, heeded) in [(u64::MAX, false), (MAX_INCARNATION, false), (MAX_INCARNATION - 1, true)] {
+fn records_with_an_incarnation_that_cannot_be_refuted_are_rejected() {
+    for (incarnation, is_accepted) in
+        [(u64::MAX, false), (MAX_INCARNATION, false), (MAX_INCARNATION - 1, true)]
+    {
         let (mut one, mut out) = (node("one", 1, 1), Vec::new());
         let dead = Record { name: "one".into(), incarnation, run: 1, status: Status::Dead };
         let bytes = datagram(&envelope("two", 1, Body::Gossip), &[dead]);
         one.handle(0, Event::Datagram { from: address(2), bytes: &bytes }, &mut out);
-        let expected = if heeded { MAX_INCARNATION } else { 1 };
+        let expected = if is_accepted { MAX_INCARNATION } else { 1 };
         assert_eq!(one.incarnation(), expected);
-        assert_eq!(one.counts().dropped.get(&DatagramError::Malformed), (!heeded).then_some(&1));
+        assert_eq!(one.counts().dropped.get(&DatagramError::Malformed), (!is_accepted).then_some(&1));
     }
 }
 
 #[test]
-fn a_flood_is_dropped_beyond_its_burst_and_the_rest_is_heard() {
+fn datagrams_beyond_the_burst_limit_are_dropped_and_the_others_accepted() {
     let (mut one, mut out) = (node("one", 1, 1), Vec::new());
     for counter in 1..=2_000 {
         let bytes = datagram(&envelope("two", counter, Body::Gossip), &[]);
@@ -186,37 +187,37 @@
 }
 
 #[test]
-fn a_view_takes_no_more_members_than_it_has_room_for() {
+fn members_beyond_the_maximum_are_dropped() {
     let (mut one, mut out) = (node("one", 1, 1), Vec::new());
     for n in 0..MAX_MEMBERS as u64 + 10 {
         let name = format!("n{n}").into();
         let record = Record { name, incarnation: 1, run: 1, status: Status::Alive(profile(2)) };
-        let bytes = datagram(&envelope("teller", n + 1, Body::Gossip), &[record]);
+        let bytes = datagram(&envelope("reporter", n + 1, Body::Gossip), &[record]);
         one.handle(n * MS, Event::Datagram { from: address(2), bytes: &bytes }, &mut out);
     }
     assert_eq!(one.members(0).len(), MAX_MEMBERS);
     assert_eq!(one.counts().dropped.get(&DatagramError::Full), Some(&11));
 }
 
-/// Guards a name: of two processes that have it and hear each other, the one of the greater run stays.
+/// Guards the uniqueness of names: of two live processes with one name, the one with the lower run number leaves.
 #[test]
-fn of_two_processes_with_one_name_the_later_start_stays() {
-    let mut both = [node("twin", 1, 5), node("twin", 2, 6)];
-    let (mut out, mut down) = (Vec::new(), [false; 2]);
-    // Each hears of the other through a third that passes on what it hears.
-    let mut teller = node("teller", 3, 1);
-    let mut wires: Vec<(usize, SocketAddr, Vec<u8>)> = Vec::new();
+fn of_two_processes_with_one_name_the_one_with_the_higher_run_stays() {
+    let mut twins = [node("twin", 1, 5), node("twin", 2, 6)];
+    let (mut out, mut superseded) = (Vec::new(), [false; 2]);
+    // A third node gossips the records of each twin to the other.
+    let mut reporter = node("reporter", 3, 1);
+    let mut in_flight: Vec<(usize, SocketAddr, Vec<u8>)> = Vec::new();
     for now in (0..20_000).map(|ms| ms * MS) {
         for n in 0..3 {
-            let who = if n == 2 { &mut teller } else { &mut both[n] };
-            if who.next_deadline().is_some_and(|due| due <= now) {
-                who.handle(now, Event::Tick, &mut out);
+            let receiver = if n == 2 { &mut reporter } else { &mut twins[n] };
+            if receiver.next_deadline().is_some_and(|due| due <= now) {
+                receiver.handle(now, Event::Tick, &mut out);
             }
-            for (to, from, bytes) in std::mem::take(&mut wires) {
+            for (to, from, bytes) in std::mem::take(&mut in_flight) {
                 if to == n {
-                    who.handle(now, Event::Datagram { from, bytes: &bytes }, &mut out);
+                    receiver.handle(now, Event::Datagram { from, bytes: &bytes }, &mut out);
                 } else {
-                    wires.push((to, from, bytes));
+                    in_flight.push((to, from, bytes));
                 }
             }
             for action in out.drain(..) {
@@ -226,15 +227,15 @@
                             99 => 2, // the seed
                             port => usize::from(port) - 1,
                         };
-                        wires.push((to, address(n as u16 + 1), bytes));
+                        in_flight.push((to, address(n as u16 + 1), bytes));
                     }
-                    Action::Changed(Change::Superseded) => down[n] = true,
+                    Action::Changed(Change::Superseded) => superseded[n] = true,
                     Action::Changed(_) => {}
                 }
             }
         }
     }
-    assert_eq!(down, [true, false]);
-    assert!(both[1].is_active() && !both[0].is_active());
-    assert_eq!(teller.state_of("twin"), Some("alive"));
+    assert_eq!(superseded, [true, false]);
+    assert!(twins[1].is_active() && !twins[0].is_active());
+    assert_eq!(reporter.state_of("twin"), Some("alive"));
 }
--- a/crates/membership/tests/memory.rs
+++ b/crates/membership/tests/memory.rs
@@ -1,18 +1,18 @@
-//! What a view takes, in a process that does nothing else.
+//! Memory use of the largest view, measured in a process of its own so that no other test disturbs it.
 
 use std::net::SocketAddr;
 
 use merlinfold_membership::*;
 
-const A_MEMBER: usize = 1 << 10; // bytes, as the design note states
+const MAX_BYTES_PER_MEMBER: usize = 1 << 10; // the documented limit
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap();
     pages.split(' ').nth(1).unwrap().parse::<usize>().unwrap() * 4_096
 }
 
 #[test]
-fn the_largest_view_takes_under_a_kilobyte_a_member() {
+fn the_largest_view_uses_less_than_a_kibibyte_per_member() {
     let address = |n: usize| SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7_946));
     let profile = |n: usize| Profile {
         zone: format!("zone-{}", n % 5).into(),
@@ -30,7 +30,7 @@
     };
     let cluster = identity.cluster_number();
     let mut machine = Membership::new(identity, Tuning::default(), 1, 0);
-    let before = resident();
+    let before = resident_bytes();
     let (mut out, mut now) = (Vec::new(), 0);
     for n in 1..MAX_MEMBERS {
         now += MS;
@@ -38,7 +38,7 @@
         let record = Record { name, incarnation: 1, run: 1 << 32, status: Status::Alive(profile(n)) };
         let envelope = Envelope {
             cluster,
-            from: "teller".into(),
+            from: "reporter".into(),
             run: 1,
             counter: n as u64,
             to: None,
@@ -51,7 +51,7 @@
         out.clear();
     }
     assert_eq!(machine.members(now).len(), MAX_MEMBERS);
-    let each = resident().saturating_sub(before) / MAX_MEMBERS;
-    println!("{each} bytes a member");
-    assert!(each < A_MEMBER, "{each} bytes a member");
+    let bytes_per_member = resident_bytes().saturating_sub(before) / MAX_MEMBERS;
+    println!("{bytes_per_member} bytes per member");
+    assert!(bytes_per_member < MAX_BYTES_PER_MEMBER, "{bytes_per_member} bytes per member");
 }
--- a/crates/membership/tests/saved.rs
+++ b/crates/membership/tests/saved.rs
@@ -1,4 +1,4 @@
-//! The file that a node keeps, on disks that fail.
+//! The state file of a node on disks that fail.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,16 +7,16 @@
 use merlinfold_membership::SavedFile;
 use merlinfold_store::{Disk, StoreError};
 
-/// Takes all that is written, and may fail to give it back.
+/// A disk that accepts all writes, but whose reads can be made to fail.
 #[derive(Default)]
-struct Unreadable {
+struct UnreadableDisk {
     files: RefCell<BTreeMap<String, Vec<u8>>>,
-    fails: Cell<bool>,
+    reads_fail: Cell<bool>,
 }
 
-impl Disk for Unreadable {
+impl Disk for UnreadableDisk {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
-        if self.fails.get() {
+        if self.reads_fail.get() {
             return Err(io::Error::other("the device reports an error"));
         }
         Ok(self.files.borrow().get(name).cloned())
@@ -42,27 +42,32 @@
     }
 }
 
-/// Guards the count of starts on a disk that for a while cannot be read but takes writes.
+/// Guards the number of starts on a disk that temporarily fails to read but accepts writes: without the read, a write
+/// would reset the number on the disk, and run numbers would repeat.
 #[test]
-fn a_read_that_fails_does_not_begin_the_count_anew() {
-    let (disk, keeping) = (Unreadable::default(), SavedFile::new("n3", "guides"));
-    assert!((1..=3).all(|starts| keeping.record_start(&disk).0.starts == starts));
-    disk.fails.set(true);
-    let (saved, faults) = keeping.record_start(&disk);
-    assert_eq!((saved.starts, faults.len()), (1, 1), "it goes on without, and says why");
-    assert!(keeping.save(&disk, saved.starts, Vec::new()).is_err());
-    disk.fails.set(false);
-    keeping.save(&disk, saved.starts, Vec::new()).unwrap();
-    assert_eq!(keeping.record_start(&disk).0.starts, 4);
+fn a_failed_read_does_not_reset_the_number_of_starts() {
+    let (disk, file) = (UnreadableDisk::default(), SavedFile::new("n3", "guides"));
+    assert!((1..=3).all(|starts| file.record_start(&disk).0.starts == starts));
+    disk.reads_fail.set(true);
+    let (saved, errors) = file.record_start(&disk);
+    assert_eq!(
+        (saved.starts, errors.len()),
+        (1, 1),
+        "the node starts without saved state and reports the error"
+    );
+    assert!(file.save(&disk, saved.starts, Vec::new()).is_err());
+    disk.reads_fail.set(false);
+    file.save(&disk, saved.starts, Vec::new()).unwrap();
+    assert_eq!(file.record_start(&disk).0.starts, 4);
 }
 
-/// Guards the other side: what is damaged is set aside and does not keep the node from counting.
+/// Guards the opposite case: a damaged file is set aside and does not prevent the node from counting its starts.
 #[test]
-fn a_damaged_file_begins_the_count_anew() {
-    let (disk, keeping) = (Unreadable::default(), SavedFile::new("n3", "guides"));
-    keeping.record_start(&disk);
-    disk.write(keeping.name(), b"mfstore").unwrap();
-    let (saved, faults) = keeping.record_start(&disk);
-    assert!(saved.starts == 1 && matches!(faults[..], [StoreError::Unusable(_)]), "{faults:?}");
-    assert_eq!(keeping.record_start(&disk).0.starts, 2);
+fn a_damaged_file_resets_the_number_of_starts() {
+    let (disk, file) = (UnreadableDisk::default(), SavedFile::new("n3", "guides"));
+    file.record_start(&disk);
+    disk.write(file.name(), b"mfstore").unwrap();
+    let (saved, errors) = file.record_start(&disk);
+    assert!(saved.starts == 1 && matches!(errors[..], [StoreError::Unusable(_)]), "{errors:?}");
+    assert_eq!(file.record_start(&disk).0.starts, 2);
 }
