--- a/crates/fleet/src/configuration/driver.rs
+++ b/crates/fleet/src/configuration/driver.rs
@@ -1,4 +1,4 @@
-//! The machine of the distribution beside those of membership and log, on the same socket.
+//! Runs the state machine of the distribution on the fleet's socket, beside those of the membership and the log.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,12 +20,12 @@
 use super::{ConfigurationView, PendingPublication, Watches};
 use crate::state_store::Disks;
 
-const VIEW_EVERY: Nanos = 500 * MS; // between two looks at the membership and the log
-const TELL_EVERY: Nanos = 1_000 * MS; // an overview of the fleet
-const LOAD_WITHIN: Duration = Duration::from_secs(5); // that a disk may take over a start
-const MAX_DONE: usize = 16; // results that wait: one of each kind of work, and those of proposals
+const UPDATE_INTERVAL: Nanos = 500 * MS; // between two updates from the membership and the log
+const VIEW_INTERVAL: Nanos = 1_000 * MS; // between two overviews of the fleet
+const LOAD_TIMEOUT: Duration = Duration::from_secs(5); // for the disk at the start
+const MAX_COMPLETIONS: usize = 16; // one for each kind of work, and those of proposals
 
-/// Something that was done on another thread.
+/// The result of work on another thread or task.
 pub(crate) enum Completion {
     Composed(Result<Arc<[u8]>, Rejection>),
     Applied(Result<(), Rejection>),
@@ -33,60 +33,60 @@
     Proposed(Ticket, Result<(), ProposalError>),
 }
 
-/// An announcement that the log is to agree on.
+/// An announcement to be proposed to the log.
 pub(crate) struct Proposal {
     pub ticket: Ticket,
     pub announcement: Announcement,
     pub expect: u64,
-    pub done: mpsc::Sender<Completion>,
+    pub completions: mpsc::Sender<Completion>,
 }
 
 impl Proposal {
-    /// Tells the outcome.
-    pub async fn tell(self, outcome: Result<(), ProposalError>) {
-        let _ = self.done.send(Completion::Proposed(self.ticket, outcome)).await;
-        // nobody waits in a process that ends
+    /// Reports the outcome to the distribution.
+    pub async fn report(self, outcome: Result<(), ProposalError>) {
+        // The event loop may have ended.
+        let _ = self.completions.send(Completion::Proposed(self.ticket, outcome)).await;
     }
 }
 
-/// What a part begins with.
+/// Everything that a [`ConfigurationDriver`] is created from.
 pub(crate) struct StartOptions {
     pub settings: Settings,
     pub id: Identity,
     pub content: Arc<dyn Content>,
     pub disk: Option<(PathBuf, Disks)>,
-    pub tells: Watches,
+    pub watches: Watches,
 }
 
-/// The distribution's part of a node.
+/// The distribution of one node, with its content, its disk and its pending publications.
 pub(crate) struct ConfigurationDriver {
     machine: Distribution,
     name: String,
     content: Arc<dyn Content>,
     disk: Option<(PathBuf, Disks)>,
-    done: (mpsc::Sender<Completion>, mpsc::Receiver<Completion>),
-    asked: BTreeMap<Ticket, oneshot::Sender<Result<RevisionId, PublishError>>>,
-    tickets: Ticket,
-    tells: Watches,
-    looked: Option<Nanos>,
-    told: Nanos,
-    log_index: u64, // at the last look
-    majority: bool, // of the log's voters is held alive
+    completions: (mpsc::Sender<Completion>, mpsc::Receiver<Completion>),
+    outcome_senders: BTreeMap<Ticket, oneshot::Sender<Result<RevisionId, PublishError>>>,
+    last_ticket: Ticket,
+    watches: Watches,
+    updated: Option<Nanos>,
+    view_published: Nanos,
+    log_index: u64,       // at the last update
+    voter_majority: bool, // whether a majority of the log's voters is alive
     to_send: Vec<(SocketAddr, Vec<u8>)>,
     to_propose: Vec<Proposal>,
 }
 
 impl ConfigurationDriver {
-    /// Whether a datagram is the distribution's.
+    /// Whether a datagram belongs to the distribution.
     pub fn is_for(bytes: &[u8]) -> bool {
         bytes.starts_with(&MARK)
     }
 
-    /// With what the disk holds.
-    pub async fn start(start: StartOptions, now: Nanos) -> Self {
-        let StartOptions { settings, id, content, disk, tells } = start;
+    /// Creates the distribution from the state on the disk.
+    pub async fn start(options: StartOptions, now: Nanos) -> Self {
+        let StartOptions { settings, id, content, disk, watches } = options;
         let name = id.name.to_string();
-        let saved = match disk.clone() {
+        let stored = match disk.clone() {
             Some((folder, disks)) => load(folder, disks, &name).await,
             None => Saved::default(),
         };
@@ -97,248 +97,254 @@
             ..Tuning::default()
         };
         let mut out = Vec::new();
-        let machine = Distribution::new(id, tuning, saved, fastrand::u64(..), now, &mut out);
-        let mut part = ConfigurationDriver {
+        let machine = Distribution::new(id, tuning, stored, fastrand::u64(..), now, &mut out);
+        let mut driver = ConfigurationDriver {
             machine,
             name,
             content,
             disk,
-            done: mpsc::channel(MAX_DONE),
-            asked: BTreeMap::new(),
-            tickets: 0,
-            tells,
-            looked: None,
-            told: now,
+            completions: mpsc::channel(MAX_COMPLETIONS),
+            outcome_senders: BTreeMap::new(),
+            last_ticket: 0,
+            watches,
+            updated: None,
+            view_published: now,
             log_index: 0,
-            majority: false,
+            voter_majority: false,
             to_send: Vec::new(),
             to_propose: Vec::new(),
         };
-        part.carry(now, out);
-        part
+        driver.execute(now, out);
+        driver
     }
 
-    /// When it next wants its turn.
-    pub fn due(&self) -> Nanos {
-        let look = self.looked.map_or(0, |looked| looked + VIEW_EVERY);
-        self.machine.due().min(look).min(self.told + TELL_EVERY)
+    /// Time of the next call to [`ConfigurationDriver::advance`].
+    pub fn next_deadline(&self) -> Nanos {
+        let update = self.updated.map_or(0, |updated| updated + UPDATE_INTERVAL);
+        self.machine.due().min(update).min(self.view_published + VIEW_INTERVAL)
     }
 
-    /// Waits for something that was done on another thread.
-    pub async fn done(&mut self) -> Completion {
-        match self.done.1.recv().await {
-            Some(done) => done,
-            None => std::future::pending().await, // cannot be: the sender is here
+    /// Waits for the result of work on another thread or task.
+    pub async fn completion(&mut self) -> Completion {
+        match self.completions.1.recv().await {
+            Some(completion) => completion,
+            None => std::future::pending().await, // unreachable: this struct owns a sender
         }
     }
 
-    /// Takes what was done.
-    pub fn finish(&mut self, now: Nanos, done: Completion) {
-        let event = match done {
+    /// Passes the result of work to the state machine.
+    pub fn handle_completion(&mut self, now: Nanos, completion: Completion) {
+        let event = match completion {
             Completion::Composed(result) => Event::Composed(result),
             Completion::Applied(result) => Event::Applied(result),
             Completion::Persisted(durable) => Event::Persisted(durable),
             Completion::Proposed(ticket, outcome) => Event::Proposed(ticket, outcome),
         };
-        self.feed(now, event);
+        self.handle(now, event);
     }
 
-    /// A datagram came.
-    pub fn hear(&mut self, now: Nanos, bytes: &[u8]) {
-        self.feed(now, Event::Datagram(bytes));
+    /// Passes a received datagram to the state machine.
+    pub fn receive(&mut self, now: Nanos, bytes: &[u8]) {
+        self.handle(now, Event::Datagram(bytes));
     }
 
-    /// A revision is to be published.
-    pub fn publish(&mut self, now: Nanos, asked: PendingPublication) {
-        let PendingPublication { change, answer } = asked;
-        self.tickets += 1;
-        self.asked.insert(self.tickets, answer);
+    /// Starts the publication of a revision.
+    pub fn publish(&mut self, now: Nanos, publication: PendingPublication) {
+        let PendingPublication { revision, outcome_sender } = publication;
+        self.last_ticket += 1;
+        self.outcome_senders.insert(self.last_ticket, outcome_sender);
         let publication = Publication {
-            ticket: self.tickets,
-            base: change.base,
-            format: change.format,
-            document: change.document.into(),
-            delta: change.delta.map(Arc::from),
-            over_missing: change.over_missing,
+            ticket: self.last_ticket,
+            base: revision.base,
+            format: revision.format,
+            document: revision.document.into(),
+            delta: revision.delta.map(Arc::from),
+            over_missing: revision.over_missing,
         };
-        self.feed(now, Event::Publish(publication));
+        self.handle(now, Event::Publish(publication));
     }
 
-    /// Whether the log has gone on since the last look, or that is long enough ago.
-    pub fn looks(&self, now: Nanos, log_index: u64) -> bool {
-        self.log_index != log_index || self.is_view_due(now)
+    /// Whether an update is due: the log has applied entries since the last one, or the update interval is over.
+    pub fn is_update_due(&self, now: Nanos, log_index: u64) -> bool {
+        self.log_index != log_index || self.is_interval_over(now)
     }
 
-    fn is_view_due(&self, now: Nanos) -> bool {
-        self.looked.is_none_or(|looked| now >= looked + VIEW_EVERY)
+    fn is_interval_over(&self, now: Nanos) -> bool {
+        self.updated.is_none_or(|updated| now >= updated + UPDATE_INTERVAL)
     }
 
-    /// Looks at the log, and at the membership now and then.
-    pub fn look(
+    /// Updates the state of the log, and at intervals the peers from the membership.
+    pub fn update(
         &mut self, now: Nanos, members: &Membership, (log, index): (LogState, u64), voters: &[String],
     ) {
         self.log_index = index;
-        if self.is_view_due(now) {
-            self.looked = Some(now);
+        if self.is_interval_over(now) {
+            self.updated = Some(now);
             let peers = peers(members, now, voters);
             let alive = peers.iter().filter(|peer| peer.votes && peer.alive).count();
-            self.majority = 2 * alive > voters.len();
-            self.feed(now, Event::Peers(peers));
+            self.voter_majority = 2 * alive > voters.len();
+            self.handle(now, Event::Peers(peers));
         }
-        // Copies of followers agree with each other also when nobody can add to them.
-        let log = LogState { fresh: log.fresh && self.majority, ..log };
-        self.feed(now, Event::Log(log));
+        // Followers agree with each other even when no majority can add entries, so that alone does not make the log
+        // current.
+        let log = LogState { fresh: log.fresh && self.voter_majority, ..log };
+        self.handle(now, Event::Log(log));
     }
 
-    /// Its turn.
-    pub fn turn(&mut self, now: Nanos) {
+    /// Runs due timers, and publishes the view at intervals.
+    pub fn advance(&mut self, now: Nanos) {
         if now >= self.machine.due() {
-            self.feed(now, Event::Tick);
+            self.handle(now, Event::Tick);
         }
-        if now >= self.told + TELL_EVERY {
-            self.tell(now);
+        if now >= self.view_published + VIEW_INTERVAL {
+            self.publish_view(now);
         }
     }
 
-    /// Datagrams that are to go out.
-    pub fn outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    /// Takes the datagrams that are to be sent.
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.to_send)
     }
 
-    /// Announcements that the log is to agree on.
-    pub fn proposals(&mut self) -> Vec<Proposal> {
+    /// Takes the announcements that are to be proposed to the log.
+    pub fn take_proposals(&mut self) -> Vec<Proposal> {
         std::mem::take(&mut self.to_propose)
     }
 
-    fn feed(&mut self, now: Nanos, event: Event) {
+    fn handle(&mut self, now: Nanos, event: Event) {
         let mut out = Vec::new();
         self.machine.handle(now, event, &mut out);
-        self.carry(now, out);
+        self.execute(now, out);
     }
 
-    fn carry(&mut self, now: Nanos, out: Vec<Action>) {
+    fn execute(&mut self, now: Nanos, out: Vec<Action>) {
         for action in out {
             match action {
                 Action::Send { to, bytes } => self.to_send.push((to, bytes)),
                 Action::Compose { base, deltas } => {
                     let content = self.content.clone();
-                    self.work(move || Completion::Composed(content.compose(&base, &deltas).map(Arc::from)));
+                    self.run_blocking(move || {
+                        Completion::Composed(content.compose(&base, &deltas).map(Arc::from))
+                    });
                 }
                 Action::Apply(document) => {
                     let content = self.content.clone();
                     let id = document.announcement.id;
-                    self.work(move || Completion::Applied(content.apply(id, &document.bytes)));
+                    self.run_blocking(move || Completion::Applied(content.apply(id, &document.bytes)));
                 }
                 Action::Persist(write) => self.persist(write),
                 Action::Propose { ticket, announcement, expect } => {
-                    let done = self.done.0.clone();
-                    self.to_propose.push(Proposal { ticket, announcement, expect, done });
+                    let completions = self.completions.0.clone();
+                    self.to_propose.push(Proposal { ticket, announcement, expect, completions });
                 }
                 Action::Published(ticket, outcome) => {
-                    if let Some(answer) = self.asked.remove(&ticket) {
-                        let _ = answer.send(outcome); // who has left wants no answer
+                    if let Some(outcome_sender) = self.outcome_senders.remove(&ticket) {
+                        let _ = outcome_sender.send(outcome); // the receiver may have stopped waiting
                     }
                 }
-                Action::Tell(note) => self.note(now, note),
+                Action::Tell(note) => self.handle_note(now, note),
             }
         }
-        let is = |told: &Option<Document>, document: Option<&Document>| {
-            told.as_ref().map(|document| document.announcement)
+        let is_same = |published: &Option<Document>, document: Option<&Document>| {
+            published.as_ref().map(|document| document.announcement)
                 == document.map(|document| document.announcement)
         };
-        for (told, document) in
-            [(&self.tells.in_force, self.machine.in_force()), (&self.tells.held, self.machine.held())]
-        {
-            if !is(&told.borrow(), document) {
-                told.send_replace(document.cloned());
+        for (sender, document) in [
+            (&self.watches.in_force, self.machine.in_force()),
+            (&self.watches.publication_base, self.machine.held()),
+        ] {
+            if !is_same(&sender.borrow(), document) {
+                sender.send_replace(document.cloned());
             }
         }
     }
 
-    /// Does something on a thread that may block, and has its result told.
-    fn work(&self, work: impl FnOnce() -> Completion + Send + 'static) {
-        let done = self.done.0.clone();
+    /// Runs work on a thread that may block, and sends its result back to the event loop.
+    fn run_blocking(&self, work: impl FnOnce() -> Completion + Send + 'static) {
+        let completions = self.completions.0.clone();
         spawn_blocking(move || {
-            let _ = done.blocking_send(work()); // nobody waits in a process that ends
+            let _ = completions.blocking_send(work()); // the event loop may have ended
         });
     }
 
     fn persist(&self, write: Write) {
         let Some((folder, disks)) = self.disk.clone() else { return };
         let name = self.name.clone();
-        self.work(move || {
+        self.run_blocking(move || {
             let opened = disks.open(&folder).map_err(|error| error.to_string());
-            let saved = opened.and_then(|disk| write.save(&*disk, &name).map_err(|fault| fault.to_string()));
-            if let Err(fault) = &saved {
-                warn!(folder = %folder.display(), fault, "configuration: not kept; tried again every 5 s");
+            let result = opened.and_then(|disk| write.save(&*disk, &name).map_err(|error| error.to_string()));
+            if let Err(error) = &result {
+                warn!(folder = %folder.display(), fault = error, "configuration: write to the disk failed; retrying every 5 s");
             }
-            Completion::Persisted(saved.is_ok())
+            Completion::Persisted(result.is_ok())
         });
     }
 
-    fn note(&mut self, now: Nanos, note: Note) {
+    fn handle_note(&mut self, now: Nanos, note: Note) {
         match note {
             Note::InForce(announcement) => {
                 let (revision, digest) = (announcement.id, announcement.digest);
-                info!(%revision, %digest, "configuration: in force");
+                info!(%revision, %digest, "configuration: revision in force");
             }
             Note::Refused(revision, why) => {
-                warn!(%revision, why, "configuration: refused; the revision before stays in force");
+                warn!(%revision, why, "configuration: revision refused; the previous one stays in force");
             }
             Note::BadContent(node, revision) => {
-                warn!(%node, %revision, "configuration: a node sent content of another digest; fetched elsewhere");
+                warn!(%node, %revision, "configuration: node sent content with a wrong digest; fetching from another node");
             }
             Note::BadChain(revision) => {
-                warn!(%revision, "configuration: deltas do not lead to the announced digest; fetched as a whole");
+                warn!(%revision, "configuration: deltas do not produce the announced digest; fetching the whole document");
             }
             Note::SetAside(revision, why) => {
                 self.content.set_aside(revision);
-                warn!(%revision, why, "configuration: the disk's revision is set aside");
+                warn!(%revision, why, "configuration: saved revision set aside");
             }
-            Note::DiskTakes(true) => info!("configuration: kept on the disk again"),
+            Note::DiskTakes(true) => info!("configuration: disk accepts writes again; revision saved"),
             Note::DiskTakes(false) => {
-                warn!("configuration: the disk does not keep it; serving does not depend on it")
+                warn!("configuration: revision not saved on the disk; serving is not affected")
             }
             Note::LogIsLower(announced) => {
-                warn!(%announced, "configuration: the log announces a lower revision than is held here");
+                warn!(%announced, "configuration: the log announces a lower revision than the one stored here");
             }
         }
-        self.tell(now);
+        self.publish_view(now);
     }
 
-    fn tell(&mut self, now: Nanos) {
-        self.told = now;
-        self.tells.view.send_replace(ConfigurationView::of(self.machine.overview(now)));
+    fn publish_view(&mut self, now: Nanos) {
+        self.view_published = now;
+        self.watches.view.send_replace(ConfigurationView::from_overview(self.machine.overview(now)));
     }
 }
 
+/// The live and dead members as peers of the distribution.
 fn peers(members: &Membership, now: Nanos, voters: &[String]) -> Vec<Peer> {
-    let peer = |member: merlinfold_membership::Member| Peer {
+    let to_peer = |member: merlinfold_membership::Member| Peer {
         alive: matches!(member.state, "alive" | "suspect"),
         votes: voters.iter().any(|voter| **voter == *member.name),
         address: member.profile.address,
         zone: member.profile.zone,
         name: member.name,
     };
-    members.members(now).into_iter().map(peer).collect()
+    members.members(now).into_iter().map(to_peer).collect()
 }
 
+/// Loads the saved revisions within the time limit; without them the node starts with none.
 async fn load(folder: PathBuf, disks: Disks, name: &str) -> Saved {
-    let (name, at) = (name.to_owned(), folder.display().to_string());
+    let (name, path) = (name.to_owned(), folder.display().to_string());
     let loaded = spawn_blocking(move || disks.open(&folder).map(|disk| Saved::load(&*disk, &name)));
-    match timeout(LOAD_WITHIN, loaded).await {
-        Ok(Ok(Ok((saved, faults)))) => {
-            for fault in faults {
-                warn!(folder = at, %fault, "configuration: what was kept cannot be relied on");
+    match timeout(LOAD_TIMEOUT, loaded).await {
+        Ok(Ok(Ok((saved, errors)))) => {
+            for error in errors {
+                warn!(folder = path, fault = %error, "configuration: saved state is unusable");
             }
             saved
         }
         Ok(Ok(Err(error))) => {
-            warn!(folder = at, %error, "configuration: the folder cannot be opened: begins with nothing");
+            warn!(folder = path, %error, "configuration: cannot open the folder; starting without saved state");
             Saved::default()
         }
         _ => {
-            warn!(folder = at, "configuration: the disk does not answer: begins with nothing");
+            warn!(folder = path, "configuration: disk timed out; starting without saved state");
             Saved::default()
         }
     }
--- a/crates/fleet/src/configuration/handle.rs
+++ b/crates/fleet/src/configuration/handle.rs
@@ -1,8 +1,8 @@
-//! How the rest of the program publishes a revision, and sees which is in force where.
+//! Publication of revisions, and the view of which revision is in force at which node.
 //!
-//! The program implements [`merlinfold_distribution::Content`] and hands it to `Fleet::serve_configuration`: its `compose`
-//! makes documents from deltas, its `apply` puts a verified document in force between two requests. Both are called on
-//! threads that may block, one call at a time. What comes back is a [`ConfigurationHandle`].
+//! The program implements [`merlinfold_distribution::Content`] and passes it to `Fleet::serve_configuration`. Its
+//! `compose` builds documents from deltas, and its `apply` puts a verified document in force between two requests. Both
+//! are called on threads that may block, one call at a time. The program receives a [`ConfigurationHandle`] in return.
 
 use merlinfold_distribution::{Document, PublishError, RevisionId};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -10,92 +10,95 @@
 
 use super::ConfigurationView;
 
-const MAX_WAITING: usize = 16; // publications that wait to be taken in
-const PATIENCE: Duration = Duration::from_secs(24); // beyond the times after which staging and log give up
+const MAX_PENDING_PUBLICATIONS: usize = 16; // publications that wait for the event loop
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(24); // longer than the timeouts of staging and log
 
-/// A revision to be published. The caller has validated it: the document is the whole of it, in its canonical encoding.
+/// A revision to publish. The caller has validated the document, which is complete and in its canonical encoding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewRevision {
-    /// The revision that it was made from, as [`ConfigurationHandle::publication_base`] gave it; none: it is the first.
+    /// The revision on which it is based, as [`ConfigurationHandle::publication_base`] returned it; `None` for the
+    /// first one.
     pub base: Option<RevisionId>,
-    /// Format of the document. Nodes that do not know it refuse the revision by name and keep the one before.
+    /// Format of the document. Nodes that do not know it refuse the revision, report its id and keep the previous one.
     pub format: u16,
-    /// The whole document. Nodes that lack the base, or have been away for long, fetch this.
+    /// The complete document, for nodes that lack the base or have been away for long.
     pub document: Vec<u8>,
-    /// What was changed. Nodes that have the base fetch this alone and apply it by `Content::compose`; the result must
-    /// be the document, byte by byte. None: all nodes fetch the whole document.
+    /// The difference to the base. Nodes with the base fetch only this and apply it by `Content::compose`; the result
+    /// must equal the document byte by byte. With `None` all nodes fetch the complete document.
     pub delta: Option<Vec<u8>>,
-    /// Publish from the base although the log announces a later revision which this node cannot fetch: for an operator
-    /// who knows that its content is lost.
+    /// Whether to publish although the log announces a later revision that this node cannot fetch. Meant for an
+    /// operator who knows that the content of that revision is lost.
     pub over_missing: bool,
 }
 
-/// A publication and who waits for its outcome.
+/// A publication and the channel that receives its result.
 pub(crate) struct PendingPublication {
-    pub change: NewRevision,
-    pub answer: oneshot::Sender<Result<RevisionId, PublishError>>,
+    pub revision: NewRevision,
+    pub outcome_sender: oneshot::Sender<Result<RevisionId, PublishError>>,
 }
 
-/// What is asked.
+/// Publications that wait for the event loop.
 pub(crate) type Publications = mpsc::Receiver<PendingPublication>;
 
-/// What the part on the socket tells.
+/// Senders by which the event loop publishes its state to handles.
 pub(crate) struct Watches {
     pub in_force: watch::Sender<Option<Document>>,
-    pub held: watch::Sender<Option<Document>>,
+    pub publication_base: watch::Sender<Option<Document>>,
     pub view: watch::Sender<ConfigurationView>,
 }
 
-/// By which the rest of the program reaches the distribution.
+/// Handle by which other parts of the program publish revisions and observe which is in force.
 #[derive(Clone, Debug)]
 pub struct ConfigurationHandle {
-    asks: mpsc::Sender<PendingPublication>,
+    publications: mpsc::Sender<PendingPublication>,
     in_force: watch::Receiver<Option<Document>>,
-    held: watch::Receiver<Option<Document>>,
+    publication_base: watch::Receiver<Option<Document>>,
     view: watch::Receiver<ConfigurationView>,
 }
 
 pub(crate) fn channel() -> (ConfigurationHandle, Publications, Watches) {
-    let (asks, asked) = mpsc::channel(MAX_WAITING);
-    let (tell_in_force, in_force) = watch::channel(None);
-    let (tell_held, held) = watch::channel(None);
-    let (tell_view, view) = watch::channel(ConfigurationView::default());
-    let tells = Watches { in_force: tell_in_force, held: tell_held, view: tell_view };
-    (ConfigurationHandle { asks, in_force, held, view }, asked, tells)
+    let (publications, receiver) = mpsc::channel(MAX_PENDING_PUBLICATIONS);
+    let (in_force_sender, in_force) = watch::channel(None);
+    let (base_sender, publication_base) = watch::channel(None);
+    let (view_sender, view) = watch::channel(ConfigurationView::default());
+    let watches = Watches { in_force: in_force_sender, publication_base: base_sender, view: view_sender };
+    (ConfigurationHandle { publications, in_force, publication_base, view }, receiver, watches)
 }
 
 impl ConfigurationHandle {
-    /// The document in force at this node, as it was announced.
+    /// The document in force at this node, with its announcement.
     pub fn in_force(&self) -> Option<Document> {
         self.in_force.borrow().clone()
     }
 
-    /// Tells of each revision that comes into force here.
+    /// Receives each revision that comes into force at this node.
     pub fn watch(&self) -> watch::Receiver<Option<Document>> {
         self.in_force.clone()
     }
 
-    /// The document that the next revision has to be made from. It differs from the one in force where `Content::apply`
+    /// The document on which the next revision has to be based. It differs from the one in force if `Content::apply`
     /// has refused it.
     pub fn publication_base(&self) -> Option<Document> {
-        self.held.borrow().clone()
+        self.publication_base.borrow().clone()
     }
 
-    /// Which revision is in force where. Renewed every second, and when something changes here.
+    /// Which revision is in force at which node. Updated every second and after each revision at this node.
     pub fn view(&self) -> ConfigurationView {
         self.view.borrow().clone()
     }
 
-    /// Publishes a revision: brings its content to a majority of the log's voters, then has it announced. When this
-    /// returns an id the revision is confirmed and will not be lost while a majority of the voters stands; nodes apply it
-    /// within seconds. [`PublishError::Unconfirmed`] says that it may still come to be.
-    pub async fn publish(&self, change: NewRevision) -> Result<RevisionId, PublishError> {
-        let (answer, answered) = oneshot::channel();
-        self.asks.try_send(PendingPublication { change, answer }).map_err(|error| match error {
-            mpsc::error::TrySendError::Full(_) => PublishError::Busy,
-            mpsc::error::TrySendError::Closed(_) => PublishError::Ended,
+    /// Publishes a revision: stores its content at a majority of the log's voters, and then announces it in the log. A
+    /// returned id means that the revision is confirmed and is not lost while a majority of the voters survives; nodes
+    /// apply it within seconds. After [`PublishError::Unconfirmed`] the revision may still come into force.
+    pub async fn publish(&self, revision: NewRevision) -> Result<RevisionId, PublishError> {
+        let (outcome_sender, outcome_receiver) = oneshot::channel();
+        self.publications.try_send(PendingPublication { revision, outcome_sender }).map_err(|error| {
+            match error {
+                mpsc::error::TrySendError::Full(_) => PublishError::Busy,
+                mpsc::error::TrySendError::Closed(_) => PublishError::Ended,
+            }
         })?;
-        match timeout(PATIENCE, answered).await {
+        match timeout(OUTCOME_TIMEOUT, outcome_receiver).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) => Err(PublishError::Ended),
             Err(_) => Err(PublishError::Unconfirmed),
--- a/crates/fleet/src/configuration/mod.rs
+++ b/crates/fleet/src/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! Distribution of configuration on the fleet's socket: revisions that the agreed log announces.
+//! Distribution of configuration on the fleet's socket: the revisions that the replicated log announces.
 //!
-//! Off without `[fleet.configuration]`. What a document means is the [`Content`](merlinfold_distribution::Content) that
-//! the program hands in; nothing here reads one.
+//! Disabled without `[fleet.configuration]`. Documents are opaque here; the program interprets them with the
+//! [`Content`](merlinfold_distribution::Content) that it passes in.
 
 mod driver;
 mod handle;
--- a/crates/fleet/src/configuration/view.rs
+++ b/crates/fleet/src/configuration/view.rs
@@ -1,74 +1,74 @@
-//! Which revision is in force where, in a form that the console tells.
+//! Which revision is in force at which node, as the console shows it.
 
 use std::collections::BTreeMap;
 
 use merlinfold_distribution::{NodeCount, Overview, RevisionId, MS};
 use serde::{Deserialize, Serialize};
 
-/// A revision that is not in force, and why.
+/// A revision that is not in force, and the reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedRevision {
-    /// Which, as `epoch.number`.
+    /// The revision as `epoch.number`.
     pub revision: String,
-    /// Why.
+    /// Why it was refused or set aside.
     pub reason: String,
 }
 
-/// Which revision is in force where, as far as this node knows. Revisions are written as `epoch.number`.
+/// Which revision is in force at which node, as far as this node knows. Revisions are written as `epoch.number`.
 ///
-/// `live` is the sum of `applied`, `behind`, `ahead` and `unknown`. A node counts as applied only where it has said so
-/// itself within the last minute; one that is silent is unknown.
+/// `live` is the sum of `applied`, `behind`, `ahead` and `unknown`. A node counts as applied only if it has reported
+/// the revision itself within the last minute; a silent node is unknown.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationView {
-    /// The latest revision that the log announces, as this node has heard.
+    /// The latest revision that the log announces, as far as this node knows.
     pub latest: Option<String>,
     /// The revision in force at this node.
     pub in_force: Option<String>,
     /// SHA-256 digest of its document, in hexadecimal.
     pub digest: Option<String>,
-    /// The revision that this node refuses; the one in force stays.
+    /// The revision that this node refuses; the previous one stays in force.
     pub refused_here: Option<RefusedRevision>,
-    /// The revision of this node's disk that was set aside.
+    /// The revision on this node's disk that was set aside.
     pub set_aside: Option<RefusedRevision>,
-    /// Whether the disk has not taken the revision in force: a restart would begin with an earlier one.
+    /// Whether the revision in force is not saved on the disk. A restart would begin with an earlier one.
     pub unsaved: bool,
-    /// Milliseconds since the log was last heard to be fresh; none: never since the start. What is in force may be as
-    /// old as that.
+    /// Milliseconds since the log was last known to be current; `None` if it never was since the start. The
+    /// configuration in force may be outdated by this time.
     pub log_silent_ms: Option<u64>,
-    /// Live members, this node among them.
+    /// Number of live members, including this node.
     pub live: usize,
-    /// Those at which the latest revision is in force.
+    /// Number of live members at which the latest revision is in force.
     pub applied: usize,
-    /// Those with an earlier one, or none.
+    /// Number of live members with an earlier revision or none.
     pub behind: usize,
-    /// Names of the first few of them.
+    /// Names of the first few members that are behind.
     pub behind_names: Vec<String>,
-    /// Those with a later one than this node has heard of.
+    /// Number of live members with a later revision than this node knows.
     pub ahead: usize,
-    /// Those that refuse a revision.
+    /// Number of live members that refuse a revision.
     pub refused: usize,
-    /// Names of the first few of them.
+    /// Names of the first few members that refuse a revision.
     pub refused_names: Vec<String>,
-    /// Those of which nothing was heard for a minute.
+    /// Number of live members without a report for one minute.
     pub unknown: usize,
-    /// Names of the first few of them.
+    /// Names of the first few members without a report.
     pub unknown_names: Vec<String>,
-    /// The lowest revision in force at a node that is known; `0.0`: none is in force there.
+    /// The lowest revision in force at a node with a report; `0.0` if none is in force there.
     pub lowest: Option<String>,
-    /// The node of that revision.
+    /// Name of the node with the lowest revision.
     pub lowest_at: Option<String>,
     /// Age of the oldest report that is counted, in milliseconds.
     pub oldest_report_ms: u64,
-    /// Known nodes by revision, the lowest few revisions.
+    /// Number of nodes with a report by revision, for the lowest few revisions.
     pub revisions: BTreeMap<String, usize>,
 }
 
 impl ConfigurationView {
-    /// The same for the console.
-    pub(crate) fn of(overview: Overview) -> Self {
+    /// Converts the overview of the distribution for the console.
+    pub(crate) fn from_overview(overview: Overview) -> Self {
         let text = |id: Option<RevisionId>| id.map(|id| id.to_string());
-        let refused = |told: Option<(RevisionId, String)>| {
-            told.map(|(id, reason)| RefusedRevision { revision: id.to_string(), reason })
+        let refused = |refusal: Option<(RevisionId, String)>| {
+            refusal.map(|(id, reason)| RefusedRevision { revision: id.to_string(), reason })
         };
         let names = |count: &NodeCount| count.names.iter().map(|name| name.to_string()).collect();
         ConfigurationView {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! Membership on a socket and a disk: the thin part around `merlinfold-membership`.
+//! Fleet membership on a socket and a disk: connects `merlinfold-membership` to the network and the file system.
 //!
-//! [`Fleet::open`] binds the socket; [`Fleet::run`] plays the machine on it until it is told to leave. What is seen
-//! comes as [`Snapshot`]s. Nothing here decides, and nothing waits for a disk: files are read and written on threads
-//! of their own, one at a time.
+//! [`Fleet::open`] binds the socket, and [`Fleet::run`] runs the protocol on it until the node leaves. The view is
+//! published as [`Snapshot`]s. This crate makes no decisions, and its event loop never waits for a disk: files are read
+//! and written on separate threads, one at a time.
 
 mod configuration;
 mod log;
--- a/crates/fleet/src/log/handle.rs
+++ b/crates/fleet/src/log/handle.rs
@@ -1,4 +1,4 @@
-//! How the rest of the program asks for something to be agreed, and sees what is.
+//! Proposals to the replicated log, and the view of its state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,105 +9,107 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-const ASKS_MOST: usize = 64; // that wait to be taken in
-const PATIENCE: Duration = Duration::from_secs(12); // beyond the time after which the log itself gives up
+const MAX_PENDING_PROPOSALS: usize = 64; // proposals that wait for the event loop
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(12); // longer than the log's own timeout
 
-/// How the log stands at this node, and what it says.
+/// State of the replicated log at this node, and its values.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogView {
-    /// Counted from the first group: it rises when a majority was lost for good.
+    /// Number of the epoch. It rises when the log is restarted after a permanent loss of its majority.
     pub epoch: u64,
-    /// The last entry applied here.
+    /// Index of the last entry applied here.
     pub index: u64,
-    /// The last entry that anybody told of.
+    /// Highest index that any node has announced.
     #[serde(rename = "told")]
     pub latest_announced: u64,
-    /// Whether this is as new as anybody has told of late; else it is old, and used as such.
+    /// Whether this copy is as new as recent announcements. An outdated copy is still used.
     pub fresh: bool,
-    /// Whether this node votes.
+    /// Whether this node is a voter.
     pub votes: bool,
-    /// Whether this node leads.
+    /// Whether this node is the leader.
     pub leads: bool,
-    /// Names of the nodes that vote.
+    /// Names of the voters.
     pub voters: Vec<String>,
-    /// What nothing is applied behind, if so: an entry that this version does not know.
+    /// Why no further entry is applied, if so: an entry has a kind that this version does not know.
     pub halted: Option<String>,
-    /// Datagrams of the log that this process has sent.
+    /// Number of datagrams of the log that this process has sent.
     #[serde(default)]
     pub sent: u64,
-    /// Their bytes.
+    /// Number of bytes in these datagrams.
     #[serde(default)]
     pub sent_bytes: u64,
-    /// The agreed values, with their revisions.
+    /// The committed values with their revisions, by key.
     pub values: BTreeMap<String, (u64, String)>,
 }
 
-/// Why something is not agreed, as far as is known.
+/// The reason why a proposed value is not known to be set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SetError {
-    /// It was agreed that it changes nothing.
-    #[error("set aside at all nodes: {0}")]
+    /// The command was committed, but changes nothing at any node.
+    #[error("committed without effect: {0}")]
     SetAside(Refusal),
-    /// Nobody has confirmed it; it may still come to be.
-    #[error("not confirmed in time: see whether most voters are up, then send it again under the same id")]
+    /// Nobody has confirmed the command; it may still be committed.
+    #[error(
+        "not confirmed in time: check whether a majority of the voters is up, then retry with the same id"
+    )]
     Unconfirmed,
-    /// It cannot be sent.
+    /// The command cannot be proposed.
     #[error("{0}")]
     Invalid(#[from] ProposalError),
-    /// There is too much to take in.
-    #[error("too many calls at once: try again")]
+    /// Too many proposals are waiting.
+    #[error("too many pending proposals: try again")]
     Busy,
-    /// The part that could agree on it has ended.
-    #[error("this process takes no part in the log any more: ask another node")]
+    /// The event loop that handles proposals has ended.
+    #[error("this process no longer takes part in the log: use another node")]
     Stopped,
 }
 
-/// A command and who waits for it.
+/// A command and the channel that receives its result.
 pub(crate) struct PendingProposal {
     pub command: Command,
-    pub answer: oneshot::Sender<Result<u64, SetError>>,
+    pub outcome_sender: oneshot::Sender<Result<u64, SetError>>,
 }
 
-/// What is asked.
+/// Proposals that wait for the event loop.
 pub(crate) type Proposals = mpsc::Receiver<PendingProposal>;
 
-/// By which the rest of the program reaches the log.
+/// Handle by which other parts of the program read the log and propose values.
 #[derive(Clone, Debug)]
 pub struct LogHandle {
-    asks: mpsc::Sender<PendingProposal>,
-    seen: watch::Receiver<LogView>,
+    proposals: mpsc::Sender<PendingProposal>,
+    view: watch::Receiver<LogView>,
 }
 
 pub(crate) fn channel() -> (LogHandle, Proposals, watch::Sender<LogView>) {
-    let (asks, asked) = mpsc::channel(ASKS_MOST);
-    let (tell, seen) = watch::channel(LogView::default());
-    (LogHandle { asks, seen }, asked, tell)
+    let (proposals, receiver) = mpsc::channel(MAX_PENDING_PROPOSALS);
+    let (view_sender, view) = watch::channel(LogView::default());
+    (LogHandle { proposals, view }, receiver, view_sender)
 }
 
 impl LogHandle {
-    /// As of now.
+    /// A copy of the current view.
     pub fn view(&self) -> LogView {
-        self.seen.borrow().clone()
+        self.view.borrow().clone()
     }
 
-    /// Reads the view as of now without copying it; the log tells nothing new until `read` returns.
+    /// Reads the current view without copying it. The log cannot publish a new view until `read` returns.
     pub fn with_view(&self, read: impl FnOnce(&LogView)) {
-        read(&self.seen.borrow());
+        read(&self.view.borrow());
     }
 
-    /// Sets an agreed value, where it stands at the expected revision if one is given; returns its new revision. The
-    /// same id takes effect once.
+    /// Sets a value and returns its new revision. If `expect` is given, the value has to be at that revision. A command
+    /// with the same id takes effect only once.
     pub async fn set(
         &self, id: u128, key: String, value: Vec<u8>, expect: Option<u64>,
     ) -> Result<u64, SetError> {
         let body = postcard::to_stdvec(&Set { key, expect, value }).unwrap_or_default();
-        let (answer, answered) = oneshot::channel();
-        let asked = PendingProposal { command: Command { id, kind: SET, body }, answer };
-        self.asks.try_send(asked).map_err(|error| match error {
+        let (outcome_sender, outcome_receiver) = oneshot::channel();
+        let pending = PendingProposal { command: Command { id, kind: SET, body }, outcome_sender };
+        self.proposals.try_send(pending).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => SetError::Busy,
             mpsc::error::TrySendError::Closed(_) => SetError::Stopped,
         })?;
-        match timeout(PATIENCE, answered).await {
+        match timeout(OUTCOME_TIMEOUT, outcome_receiver).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) => Err(SetError::Stopped),
             Err(_) => Err(SetError::Unconfirmed),
--- a/crates/fleet/src/log/mod.rs
+++ b/crates/fleet/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The agreed log on the fleet's socket: the thin part around `merlinfold-replicated-log`.
+//! The replicated log on the fleet's socket: connects `merlinfold-replicated-log` to the network and the disk.
 
 mod driver;
 mod handle;
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The view as the rest of the program and operators get it.
+//! The view of the fleet as other parts of the program and operators read it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,97 +6,99 @@
 use merlinfold_membership::{Membership, Nanos, MS};
 use serde::{Deserialize, Serialize};
 
-/// Version of the JSON form.
+/// Version of the JSON schema.
 pub const SCHEMA: u32 = 1;
 
-/// A member.
+/// State of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberLine {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// Its machine.
+    /// Machine on which the member runs.
     pub machine: String,
-    /// Where it is reached.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// How often it contradicted what was told of it, and 1.
+    /// Number of times that the member has refuted a record about itself, plus one.
     pub incarnation: u64,
     /// Version of its program.
     pub version: String,
-    /// Protocols that it speaks.
+    /// Lowest and highest protocol version that it supports.
     pub protocols: (u8, u8),
-    /// Milliseconds since it was last heard itself; none: never.
+    /// Milliseconds since the last datagram from the member itself; `None` if there was none.
     pub silent_ms: Option<u64>,
 }
 
-/// A zone.
+/// Number of members of one zone by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneLine {
-    /// Members alive.
+    /// Members that are alive.
     pub alive: usize,
-    /// Members accused.
+    /// Members that are suspected.
     pub suspect: usize,
-    /// Members dead.
+    /// Members that are dead.
     pub dead: usize,
-    /// Members heard themselves in the last 5 s.
+    /// Members from which a datagram was received in the last 5 s.
     pub heard: usize,
 }
 
-/// How one node sees its fleet at a moment. Another's may differ.
+/// The view of one node at one moment. The view of another node may differ.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Version of this form.
+    /// Version of the JSON schema.
     pub schema: u32,
-    /// Who sees it.
+    /// Name of the node that has this view.
     pub me: String,
-    /// Number of this process among all of its name: greater with every start on one disk.
+    /// Run number of this process. It rises with every start of the node on one disk.
     #[serde(default)]
     pub run: u64,
-    /// Whether this process takes part: not one that left or gave its name to another.
+    /// Whether this process takes part: it has neither left nor been superseded by another process with its name.
     pub takes_part: bool,
-    /// Whether it hears more than half of what should be there.
+    /// Whether the node reaches more than half of the expected members.
     pub majority: bool,
-    /// Members alive, itself among them.
+    /// Number of members that are alive, including the node itself.
     pub alive: usize,
-    /// All that should be there.
+    /// Number of expected members: all known members except those that have left.
     pub known: usize,
-    /// Members accused.
+    /// Number of members that are suspected.
     pub suspects: usize,
-    /// Members heard themselves in the last 5 s.
+    /// Number of members from which a datagram was received in the last 5 s.
     pub heard: usize,
-    /// By zone.
+    /// Member counts by zone.
     pub zones: BTreeMap<String, ZoneLine>,
-    /// Counts since the start: datagrams sent, heard, without effect by reason, accusations made, refutations.
+    /// Counters since the start: datagrams sent, accepted and dropped by reason, accusations, refutations and stalls.
     pub counts: BTreeMap<String, u64>,
-    /// All members by name.
+    /// All members, sorted by name.
     pub members: Vec<MemberLine>,
 }
 
 impl Snapshot {
-    /// As of now.
+    /// Builds a snapshot of the current view.
     pub fn of(me: &str, machine: &Membership, now: Nanos) -> Self {
-        let sure = machine.summary(now);
-        let zone = |view: &merlinfold_membership::ZoneCounts| ZoneLine {
+        let summary = machine.summary(now);
+        let zone_line = |view: &merlinfold_membership::ZoneCounts| ZoneLine {
             alive: view.alive,
             suspect: view.suspect,
             dead: view.dead,
             heard: view.recently_heard,
         };
         let zones: BTreeMap<String, ZoneLine> =
-            sure.zones.iter().map(|(name, view)| (name.to_string(), zone(view))).collect();
-        let counted = machine.counts();
+            summary.zones.iter().map(|(name, view)| (name.to_string(), zone_line(view))).collect();
+        let counters = machine.counts();
         let mut counts = BTreeMap::from([
-            ("sent".to_owned(), counted.sent),
-            ("sent_bytes".to_owned(), counted.sent_bytes),
-            ("heard".to_owned(), counted.accepted),
-            ("accused".to_owned(), counted.accusations),
-            ("refuted".to_owned(), counted.refutations),
-            ("held_up".to_owned(), counted.stalls),
+            ("sent".to_owned(), counters.sent),
+            ("sent_bytes".to_owned(), counters.sent_bytes),
+            ("heard".to_owned(), counters.accepted),
+            ("accused".to_owned(), counters.accusations),
+            ("refuted".to_owned(), counters.refutations),
+            ("held_up".to_owned(), counters.stalls),
         ]);
-        counts.extend(counted.dropped.iter().map(|(fault, n)| (format!("dropped.{}", fault.name()), *n)));
+        counts.extend(
+            counters.dropped.iter().map(|(error, count)| (format!("dropped.{}", error.name()), *count)),
+        );
         let members = machine.members(now).into_iter().map(|member| MemberLine {
             name: member.name.to_string(),
             state: member.state.to_owned(),
@@ -113,9 +115,9 @@
             me: me.to_owned(),
             run: machine.run(),
             takes_part: machine.is_active(),
-            majority: sure.majority,
-            alive: sure.alive,
-            known: sure.known,
+            majority: summary.majority,
+            alive: summary.alive,
+            known: summary.known,
             suspects: zones.values().map(|zone| zone.suspect).sum(),
             heard: zones.values().map(|zone| zone.heard).sum(),
             zones,
@@ -124,11 +126,11 @@
         }
     }
 
-    /// For people: a line a member, and one above that says how sure it is.
+    /// Formats the view as a table: a summary, a line for each zone and a line for each member.
     pub fn table(&self) -> String {
         use std::fmt::Write;
         let mut text = String::new();
-        let sure = match (self.takes_part, self.majority) {
+        let status = match (self.takes_part, self.majority) {
             (false, _) => "this process takes no part",
             (true, true) => "hears most of the fleet",
             (true, false) => "HEARS FEWER THAN HALF of the fleet",
@@ -136,7 +138,7 @@
         // Writing to a string cannot fail.
         let _ = writeln!(
             text,
-            "{}: {} of {} alive, {} suspect; {sure}",
+            "{}: {} of {} alive, {} suspect; {status}",
             self.me, self.alive, self.known, self.suspects
         );
         for (name, zone) in &self.zones {
--- a/crates/fleet/src/state_store.rs
+++ b/crates/fleet/src/state_store.rs
@@ -1,4 +1,4 @@
-//! What is kept on the disk, on threads that may wait for it.
+//! The file of the membership on the disk, accessed on threads that may block.
 
 use std::fmt;
 use std::io;
@@ -13,28 +13,26 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-type Open = dyn Fn(&Path) -> io::Result<Box<dyn Disk>> + Send + Sync;
+type Opener = dyn Fn(&Path) -> io::Result<Box<dyn Disk>> + Send + Sync;
 
-/// How a folder becomes a disk: the lab puts one there that fails.
+/// Opens a folder as a [`Disk`]. Fault injection replaces it by an opener of disks that fail.
 #[derive(Clone)]
-pub struct Disks(Arc<Open>);
+pub struct Disks(Arc<Opener>);
 
 impl Disks {
-    /// By this function, called for every piece of work on a disk.
+    /// Uses this function, which is called for each access to a disk.
     pub fn with_opener(open: impl Fn(&Path) -> io::Result<Box<dyn Disk>> + Send + Sync + 'static) -> Self {
         Disks(Arc::new(open))
     }
-}
 
-impl Disks {
-    /// The disk in this folder.
+    /// Opens the disk of this folder.
     pub(crate) fn open(&self, folder: &Path) -> io::Result<Box<dyn Disk>> {
         self.0(folder)
     }
 }
 
 impl Default for Disks {
-    /// Folders as they are.
+    /// Opens folders of the file system.
     fn default() -> Self {
         Disks::with_opener(|path| Ok(Box::new(Folder::open(path)?)))
     }
@@ -46,57 +44,57 @@
     }
 }
 
-/// Keeps the view of one node.
+/// Loads and saves the state file of one node.
 #[derive(Clone, Debug)]
 pub struct StateStore {
     folder: PathBuf,
     disks: Disks,
-    keeping: SavedFile,
-    writing: Arc<Mutex<()>>, // one at a time, also after one that took too long
+    file: SavedFile,
+    access: Arc<Mutex<()>>, // serializes accesses, also behind one that has timed out
 }
 
 impl StateStore {
-    /// In this folder.
+    /// Creates the store of a node in this folder.
     pub fn new(folder: PathBuf, disks: Disks, name: &str, cluster: &str) -> Self {
-        StateStore { folder, disks, keeping: SavedFile::new(name, cluster), writing: Arc::default() }
+        StateStore { folder, disks, file: SavedFile::new(name, cluster), access: Arc::default() }
     }
 
-    /// Does something with the disk, on a thread that may wait; none if the thread ended without a word.
-    async fn with<T: Send + 'static>(
+    /// Runs work with the disk on a thread that may block; returns `None` if the thread panicked.
+    async fn run_blocking<T: Send + 'static>(
         &self, work: impl FnOnce(&SavedFile, &dyn Disk) -> T + Send + 'static,
     ) -> Option<Result<T, StoreError>> {
-        let keeper = self.clone();
-        let done = spawn_blocking(move || {
-            let _one = keeper.writing.lock().unwrap_or_else(PoisonError::into_inner);
-            let open = &keeper.disks.0;
-            let disk = open(&keeper.folder).map_err(|error| StoreError::Io { step: "open", error })?;
-            Ok(work(&keeper.keeping, &*disk))
+        let store = self.clone();
+        let result = spawn_blocking(move || {
+            let _guard = store.access.lock().unwrap_or_else(PoisonError::into_inner);
+            let open = &store.disks.0;
+            let disk = open(&store.folder).map_err(|error| StoreError::Io { step: "open", error })?;
+            Ok(work(&store.file, &*disk))
         });
-        done.await.ok()
+        result.await.ok()
     }
 
-    /// Counts this start, durably, and returns what was kept. A disk that fails or takes too long is named, and the
-    /// node goes on without.
+    /// Increments the number of starts durably and returns the saved state. If the disk fails or times out, a warning
+    /// names the file and the node goes on without saved state.
     pub async fn record_start(&self) -> SavedState {
-        let file = self.folder.join(self.keeping.name());
-        let begun = self.with(|keeping, disk| keeping.record_start(disk));
-        let (saved, faults) = match timeout(Duration::from_nanos(LOAD_TIMEOUT), begun).await {
-            Ok(Some(Ok(begun))) => begun,
-            Ok(Some(Err(fault))) => (SavedState::default(), vec![fault]),
+        let path = self.folder.join(self.file.name());
+        let result = self.run_blocking(|file, disk| file.record_start(disk));
+        let (saved, errors) = match timeout(Duration::from_nanos(LOAD_TIMEOUT), result).await {
+            Ok(Some(Ok(result))) => result,
+            Ok(Some(Err(error))) => (SavedState::default(), vec![error]),
             Ok(None) | Err(_) => {
-                warn!(file = %file.display(), "fleet: the disk does not answer: joining without what was kept");
+                warn!(file = %path.display(), "fleet: disk timed out; joining without saved state");
                 (SavedState::default(), Vec::new())
             }
         };
-        for fault in faults {
-            warn!(file = %file.display(), %fault, "fleet: what was kept cannot be relied on");
+        for error in errors {
+            warn!(file = %path.display(), fault = %error, "fleet: saved state is unusable or was not saved");
         }
         saved
     }
 
-    /// Keeps the addresses of others.
+    /// Saves the addresses of other members.
     pub async fn save(&self, starts: u32, addresses: Vec<SocketAddr>) -> Result<(), StoreError> {
-        let saved = self.with(move |keeping, disk| keeping.save(disk, starts, addresses)).await;
-        saved.unwrap_or(Err(StoreError::InvalidValue))? // the thread ended without a word
+        let result = self.run_blocking(move |file, disk| file.save(disk, starts, addresses)).await;
+        result.unwrap_or(Err(StoreError::InvalidValue))? // the thread panicked
     }
 }
--- a/crates/fleet/src/view_saver.rs
+++ b/crates/fleet/src/view_saver.rs
@@ -1,4 +1,4 @@
-//! The membership's view on its way to the disk.
+//! Saves the addresses of the membership's view to the disk in the background.
 
 use std::time::Duration;
 
@@ -9,41 +9,40 @@
 
 use crate::state_store::StateStore;
 
-/// The view on its way to the disk.
+/// Writes the view to the disk when it has changed.
 pub(crate) struct ViewSaver {
-    keeper: Option<StateStore>,
+    store: Option<StateStore>,
     starts: u32,
-    last: Instant,
-    dirty: bool,
-    under_way: Option<JoinHandle<()>>, // at most one
+    last_save: Instant,
+    changed: bool,
+    write: Option<JoinHandle<()>>, // at most one write at a time
 }
 
 impl ViewSaver {
-    /// Nothing has changed yet.
-    pub fn new(keeper: Option<StateStore>, starts: u32) -> Self {
-        ViewSaver { keeper, starts, last: Instant::now(), dirty: false, under_way: None }
+    /// Creates a saver with no pending change. Without a store nothing is saved.
+    pub fn new(store: Option<StateStore>, starts: u32) -> Self {
+        ViewSaver { store, starts, last_save: Instant::now(), changed: false, write: None }
     }
 
-    /// Whether something has changed since.
-    pub fn note(&mut self, changed: bool) {
-        self.dirty |= changed;
+    /// Notes whether the view has changed.
+    pub fn note_change(&mut self, changed: bool) {
+        self.changed |= changed;
     }
 
-    /// Begins to save, where something has changed, none is under way and the last is long enough ago.
+    /// Starts a write if the view has changed, no write is in progress and the last one is at least the save interval
+    /// ago.
     pub fn save(&mut self, machine: &Membership) {
-        let busy = self.under_way.as_ref().is_some_and(|task| !task.is_finished());
-        let Some(keeper) = self
-            .keeper
-            .clone()
-            .filter(|_| self.dirty && !busy && self.last.elapsed() >= Duration::from_nanos(SAVE_INTERVAL))
-        else {
+        let is_writing = self.write.as_ref().is_some_and(|task| !task.is_finished());
+        let Some(store) = self.store.clone().filter(|_| {
+            self.changed && !is_writing && self.last_save.elapsed() >= Duration::from_nanos(SAVE_INTERVAL)
+        }) else {
             return;
         };
-        (self.dirty, self.last) = (false, Instant::now());
+        (self.changed, self.last_save) = (false, Instant::now());
         let (starts, addresses) = (self.starts, machine.addresses());
-        self.under_way = Some(tokio::spawn(async move {
-            if let Err(fault) = keeper.save(starts, addresses).await {
-                warn!(%fault, "fleet: the view was not kept; what was kept before still is");
+        self.write = Some(tokio::spawn(async move {
+            if let Err(error) = store.save(starts, addresses).await {
+                warn!(fault = %error, "fleet: saving the view failed; the previous file is unchanged");
             }
         }));
     }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,22 +1,22 @@
-//! Content for tests: documents are bytes.
+//! Configuration content for tests, in which documents are plain bytes.
 
-#![allow(dead_code)] // no test uses all of it
+#![allow(dead_code)] // not every test uses all items
 
 use std::sync::Mutex;
 
 use merlinfold_distribution::{Content, Delta, Rejection, RevisionId};
 use merlinfold_fleet::{ConfigurationHandle, NewRevision};
 
-/// Documents are bytes, a delta is what is added at the end; some documents are refused.
+/// Content whose deltas are bytes that are appended to the document.
 #[derive(Default)]
-pub struct Appended {
-    /// Documents that end so are refused.
-    pub refuses: Option<&'static [u8]>,
-    /// What came into force, in order.
+pub struct AppendContent {
+    /// Documents that end with these bytes are refused.
+    pub rejected_suffix: Option<&'static [u8]>,
+    /// Revisions that came into force, in order.
     pub applied: Mutex<Vec<(RevisionId, Vec<u8>)>>,
 }
 
-impl Content for Appended {
+impl Content for AppendContent {
     fn max_format(&self) -> u16 {
         1
     }
@@ -27,8 +27,8 @@
     }
 
     fn apply(&self, revision: RevisionId, document: &[u8]) -> Result<(), Rejection> {
-        if self.refuses.is_some_and(|refused| document.ends_with(refused)) {
-            return Err(Rejection("it ends badly".to_owned()));
+        if self.rejected_suffix.is_some_and(|suffix| document.ends_with(suffix)) {
+            return Err(Rejection("the document ends with the rejected suffix".to_owned()));
         }
         self.applied.lock().unwrap().push((revision, document.to_vec()));
         Ok(())
@@ -37,16 +37,16 @@
     fn set_aside(&self, _revision: RevisionId) {}
 }
 
-/// The next revision: what a node holds, with this added.
-pub fn appended(handle: &ConfigurationHandle, added: &[u8]) -> NewRevision {
-    let held = handle.publication_base();
-    let mut document = held.as_ref().map_or_else(Vec::new, |held| held.bytes.to_vec());
+/// The next revision: the node's publication base with `added` appended.
+pub fn next_revision(handle: &ConfigurationHandle, added: &[u8]) -> NewRevision {
+    let base = handle.publication_base();
+    let mut document = base.as_ref().map_or_else(Vec::new, |base| base.bytes.to_vec());
     document.extend(added);
     NewRevision {
-        base: held.as_ref().map(|held| held.announcement.id),
+        base: base.as_ref().map(|base| base.announcement.id),
         format: 1,
         document,
-        delta: held.is_some().then(|| added.to_vec()),
+        delta: base.is_some().then(|| added.to_vec()),
         over_missing: false,
     }
 }
--- a/crates/fleet/tests/common/relay.rs
+++ b/crates/fleet/tests/common/relay.rs
@@ -1,39 +1,39 @@
-//! What stands between processes: a socket in front of each, and links that can be cut.
+//! A UDP relay in front of each node, with links that can be cut.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Links between nodes.
+/// The relays of all nodes and the links between them.
 pub struct Relay {
-    /// Where each node is reached by others.
+    /// Addresses at which other nodes reach each node.
     pub outer: Vec<SocketAddr>,
-    /// Where each node hears.
+    /// Addresses at which the nodes receive datagrams.
     pub inner: Vec<SocketAddr>,
     cut: Arc<Mutex<BTreeSet<(usize, usize)>>>,
 }
 
 impl Relay {
-    /// Between so many nodes; its threads last as long as the process.
+    /// Starts the relays of this many nodes. Their threads run until the process ends.
     pub fn start(nodes: usize) -> Self {
-        let free = || UdpSocket::bind("127.0.0.1:0").unwrap();
+        let bind_free_port = || UdpSocket::bind("127.0.0.1:0").unwrap();
         let inner: Vec<SocketAddr> = {
-            let held: Vec<UdpSocket> = (0..nodes).map(|_| free()).collect();
-            held.iter().map(|socket| socket.local_addr().unwrap()).collect()
+            let bound: Vec<UdpSocket> = (0..nodes).map(|_| bind_free_port()).collect();
+            bound.iter().map(|socket| socket.local_addr().unwrap()).collect()
         };
-        let sockets: Arc<Vec<UdpSocket>> = Arc::new((0..nodes).map(|_| free()).collect());
+        let sockets: Arc<Vec<UdpSocket>> = Arc::new((0..nodes).map(|_| bind_free_port()).collect());
         let outer = sockets.iter().map(|socket| socket.local_addr().unwrap()).collect();
         let cut: Arc<Mutex<BTreeSet<(usize, usize)>>> = Arc::default();
         for to in 0..nodes {
             let (sockets, inner, cut) = (sockets.clone(), inner.clone(), cut.clone());
-            thread::spawn(move || pass_on(to, &sockets, &inner, &cut));
+            thread::spawn(move || forward(to, &sockets, &inner, &cut));
         }
         Relay { outer, inner, cut }
     }
 
-    /// Nothing passes between these and the others any more.
-    pub fn split(&self, side: &[usize]) {
+    /// Cuts all links between these nodes and the others, in both directions.
+    pub fn partition(&self, side: &[usize]) {
         let nodes = 0..self.inner.len();
         let mut cut = self.cut.lock().unwrap();
         for other in nodes.filter(|node| !side.contains(node)) {
@@ -41,21 +41,21 @@
         }
     }
 
-    /// Everything passes again.
+    /// Restores all links.
     pub fn heal(&self) {
         self.cut.lock().unwrap().clear();
     }
 }
 
-fn pass_on(to: usize, sockets: &[UdpSocket], inner: &[SocketAddr], cut: &Mutex<BTreeSet<(usize, usize)>>) {
+fn forward(to: usize, sockets: &[UdpSocket], inner: &[SocketAddr], cut: &Mutex<BTreeSet<(usize, usize)>>) {
     let mut buffer = [0; 2_048];
     loop {
-        // What an earlier datagram met on its way comes back here; it ends nothing.
+        // An error that an earlier datagram met on its way may be reported here; the socket stays usable.
         let Ok((length, source)) = sockets[to].recv_from(&mut buffer) else { continue };
-        // A node sends from where it hears.
-        let Some(from) = inner.iter().position(|at| *at == source) else { continue };
+        // A node sends from the address at which it receives.
+        let Some(from) = inner.iter().position(|address| *address == source) else { continue };
         if !cut.lock().unwrap().contains(&(from, to)) {
-            let _ = sockets[from].send_to(&buffer[..length], inner[to]); // a node that is gone hears nothing
+            let _ = sockets[from].send_to(&buffer[..length], inner[to]); // the receiving process may have ended
         }
     }
 }
--- a/crates/fleet/tests/processes.rs
+++ b/crates/fleet/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Distribution of configuration over five processes: one is killed, one paused, one has a full disk, and the fleet is
-//! split. The processes are this test itself, started again as [`node_process`].
+//! Distribution of configuration over five processes, while one is killed, one is paused, one has a full disk, and the
+//! fleet is split. The processes run this test binary again with the test [`node_process`].
 
 mod common;
 #[path = "common/relay.rs"]
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{appended, Appended};
+use common::{next_revision, AppendContent};
 use merlinfold_config::{parse, Config};
 use merlinfold_fleet::Fleet;
 use relay::Relay;
@@ -23,13 +23,13 @@
 use tokio::sync::watch;
 
 const NODES: usize = 5;
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(12);
-const TABLE: &str = "MERLINFOLD_TEST_NODE"; // names a file with the node's table
-const MARK: &str = "told ";
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(12);
+const SETTINGS_FILE: &str = "MERLINFOLD_TEST_NODE"; // environment variable with the path of the node's settings
+const STATUS_PREFIX: &str = "status ";
 
-/// What a process tells of itself, a line each.
+/// Status that a process prints, one JSON line each.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Told {
+struct Status {
     number: u64,
     digest: String,
     voters: usize,
@@ -38,18 +38,18 @@
     outcomes: Vec<String>,
 }
 
-/// One node, for as long as its process lasts.
+/// Runs one node until the test closes its input.
 #[test]
-#[ignore = "a process of the test beside it"]
+#[ignore = "started as a process by the test below"]
 fn node_process() {
-    let Some(file) = std::env::var_os(TABLE) else { return };
+    let Some(file) = std::env::var_os(SETTINGS_FILE) else { return };
     let file = PathBuf::from(file);
     let name = file.file_stem().unwrap().to_str().unwrap().to_owned();
     let settings = parse::<Config>(&std::fs::read_to_string(&file).unwrap()).unwrap().fleet.unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let (mut fleet, _) = Fleet::open(&name, settings).unwrap();
-        let configuration = fleet.serve_configuration(Arc::new(Appended::default())).unwrap();
+        let configuration = fleet.serve_configuration(Arc::new(AppendContent::default())).unwrap();
         let log = fleet.log_handle().unwrap();
         let (_leave, leaves) = watch::channel(false);
         tokio::spawn(fleet.run(leaves));
@@ -59,7 +59,8 @@
             let line = tokio::time::timeout(Duration::from_millis(50), lines.next_line()).await;
             match line {
                 Ok(Ok(Some(added))) => {
-                    let published = configuration.publish(appended(&configuration, added.as_bytes())).await;
+                    let published =
+                        configuration.publish(next_revision(&configuration, added.as_bytes())).await;
                     outcomes
                         .push(published.map_or_else(|error| error.to_string(), |id| id.number.to_string()));
                 }
@@ -67,7 +68,7 @@
                 Err(_) => {}
             }
             let (in_force, view) = (configuration.in_force(), configuration.view());
-            let told = Told {
+            let status = Status {
                 number: in_force.as_ref().map_or(0, |document| document.announcement.id.number),
                 digest: in_force
                     .map_or_else(String::new, |document| document.announcement.digest.to_string()),
@@ -76,7 +77,7 @@
                 log_silent_ms: view.log_silent_ms.unwrap_or(u64::MAX),
                 outcomes: outcomes.clone(),
             };
-            println!("{MARK}{}", serde_json::to_string(&told).unwrap());
+            println!("{STATUS_PREFIX}{}", serde_json::to_string(&status).unwrap());
         }
     });
 }
@@ -84,7 +85,7 @@
 struct Node {
     child: Child,
     input: ChildStdin,
-    told: Arc<Mutex<Told>>,
+    status: Arc<Mutex<Status>>,
 }
 
 impl Drop for Node {
@@ -109,118 +110,121 @@
         );
         std::fs::write(&file, table).unwrap();
         let mut command = Command::new(std::env::current_exe().unwrap());
-        command.args(["--exact", "node_process", "--ignored", "--nocapture"]).env(TABLE, &file);
+        command.args(["--exact", "node_process", "--ignored", "--nocapture"]).env(SETTINGS_FILE, &file);
         let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
         let (input, output) = (child.stdin.take().unwrap(), child.stdout.take().unwrap());
-        let told: Arc<Mutex<Told>> = Arc::default();
-        let (shared, digests) = (told.clone(), digests.clone());
+        let status: Arc<Mutex<Status>> = Arc::default();
+        let (shared, digests) = (status.clone(), digests.clone());
         thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                let Some(told) = line.split_once(MARK).and_then(|(_, told)| serde_json::from_str(told).ok())
+                let Some(status) =
+                    line.split_once(STATUS_PREFIX).and_then(|(_, status)| serde_json::from_str(status).ok())
                 else {
                     continue;
                 };
-                hold(number, &told, &shared.lock().unwrap(), &digests);
-                *shared.lock().unwrap() = told;
+                check_invariants(number, &status, &shared.lock().unwrap(), &digests);
+                *shared.lock().unwrap() = status;
             }
         });
-        Node { child, input, told }
+        Node { child, input, status }
     }
 
-    fn told(&self) -> Told {
-        self.told.lock().unwrap().clone()
+    fn status(&self) -> Status {
+        self.status.lock().unwrap().clone()
     }
 
     fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Publishes and waits for what came of it.
+    /// Publishes a revision and waits for its outcome.
     fn publish(&mut self, added: &str) -> String {
-        let before = self.told().outcomes.len();
+        let before = self.status().outcomes.len();
         writeln!(self.input, "{added}").unwrap();
-        let shared = self.told.clone();
+        let shared = self.status.clone();
         let outcome = || shared.lock().unwrap().outcomes.get(before).cloned();
-        until("an outcome", Duration::from_secs(25), || outcome().is_some());
+        wait_until("an outcome", Duration::from_secs(25), || outcome().is_some());
         outcome().unwrap()
     }
 }
 
-/// What was broken, and the digest of each revision.
+/// The digest of each revision by number, and the violations found.
 type Digests = Arc<Mutex<(BTreeMap<u64, String>, Vec<String>)>>;
 
-/// Laws of what a process tells, beside what it told before.
-fn hold(node: usize, told: &Told, before: &Told, digests: &Digests) {
-    let mut held = digests.lock().unwrap();
-    if told.number < before.number {
-        held.1.push(format!("n{node} has {} after {}", told.number, before.number));
+/// Invariants of a status: the revision never falls, and a revision has the same digest at all nodes.
+fn check_invariants(node: usize, status: &Status, before: &Status, digests: &Digests) {
+    let mut findings = digests.lock().unwrap();
+    if status.number < before.number {
+        findings.1.push(format!("n{node} has {} after {}", status.number, before.number));
     }
-    if told.number > 0 {
-        let first = held.0.entry(told.number).or_insert_with(|| told.digest.clone()).clone();
-        if first != told.digest {
-            held.1.push(format!("n{node}: {} is {}, elsewhere {first}", told.number, told.digest));
+    if status.number > 0 {
+        let first = findings.0.entry(status.number).or_insert_with(|| status.digest.clone()).clone();
+        if first != status.digest {
+            findings.1.push(format!("n{node}: {} is {}, elsewhere {first}", status.number, status.digest));
         }
     }
 }
 
-fn until(what: &str, within: Duration, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+fn wait_until(condition: &str, timeout: Duration, mut holds: impl FnMut() -> bool) {
+    let started = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < within, "{what}: not within {within:?}");
+        assert!(started.elapsed() < timeout, "{condition}: not within {timeout:?}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn in_force(nodes: &[Node], which: &[usize], number: u64) {
-    let has = |node: &usize| nodes[*node].told().number == number;
-    until(&format!("{number} in force at {which:?}"), IN_FORCE_WITHIN, || which.iter().all(has));
+fn wait_in_force(nodes: &[Node], which: &[usize], number: u64) {
+    let has = |node: &usize| nodes[*node].status().number == number;
+    wait_until(&format!("{number} in force at {which:?}"), IN_FORCE_TIMEOUT, || which.iter().all(has));
 }
 
 #[test]
-fn revisions_come_into_force_through_kill_pause_full_disk_and_split() {
+fn revisions_come_into_force_despite_kill_pause_full_disk_and_partition() {
     let folder = std::env::temp_dir().join(format!("merlinfold-processes-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     let (relay, digests) = (Relay::start(NODES), Digests::default());
     let start = |number: usize| Node::start(&folder, number, &relay, &digests);
     let mut nodes: Vec<Node> = (0..NODES).map(start).collect();
-    until("the log has its voters", Duration::from_secs(20), || {
-        nodes.iter().all(|node| node.told().voters == 3 && node.told().log_silent_ms < 1_000)
+    wait_until("the log has its voters", Duration::from_secs(20), || {
+        nodes.iter().all(|node| node.status().voters == 3 && node.status().log_silent_ms < 1_000)
     });
     let all = [0, 1, 2, 3, 4];
 
     assert_eq!(nodes[4].publish(&"a".repeat(300_000)), "1");
-    in_force(&nodes, &all, 1);
+    wait_in_force(&nodes, &all, 1);
 
-    // A node is killed and a voter is paused; the others go on, and both catch up.
+    // A node is killed and a voter is paused; the others publish and apply a revision, and both catch up.
     nodes[3].child.kill().unwrap();
     nodes[1].signal(Signal::STOP);
     assert_eq!(nodes[4].publish("killed and paused"), "2");
-    in_force(&nodes, &[0, 2, 4], 2);
+    wait_in_force(&nodes, &[0, 2, 4], 2);
     nodes[1].signal(Signal::CONT);
     nodes[3] = start(3);
-    in_force(&nodes, &all, 2);
+    wait_in_force(&nodes, &all, 2);
 
-    // A disk that takes nothing more of it: what is in force does not depend on it.
-    let beside = folder.join("disk4/configuration.mf.new");
-    std::os::unix::fs::symlink("/dev/full", &beside).unwrap();
+    // One disk is full: the node applies the revision nevertheless and reports that it is unsaved.
+    let temporary_file = folder.join("disk4/configuration.mf.new");
+    std::os::unix::fs::symlink("/dev/full", &temporary_file).unwrap();
     assert_eq!(nodes[0].publish("full"), "3");
-    in_force(&nodes, &all, 3);
-    until("the full disk is named", Duration::from_secs(15), || nodes[4].told().unsaved);
-    std::fs::remove_file(&beside).unwrap();
-    until("the disk takes it again", Duration::from_secs(15), || !nodes[4].told().unsaved);
-
-    // The side without the voters serves on, says how old it is, and can publish nothing.
-    relay.split(&[3, 4]);
-    thread::sleep(Duration::from_secs(4)); // until the others are held dead
+    wait_in_force(&nodes, &all, 3);
+    wait_until("the node reports that its revision is not saved", Duration::from_secs(15), || {
+        nodes[4].status().unsaved
+    });
+    std::fs::remove_file(&temporary_file).unwrap();
+    wait_until("the revision is saved again", Duration::from_secs(15), || !nodes[4].status().unsaved);
+
+    // The side without a majority of the voters keeps its revision, reports how old it is, and cannot publish.
+    relay.partition(&[3, 4]);
+    thread::sleep(Duration::from_secs(4)); // until the others are declared dead
     assert_eq!(nodes[0].publish("split"), "4");
-    in_force(&nodes, &[0, 1, 2], 4);
+    wait_in_force(&nodes, &[0, 1, 2], 4);
     let error = nodes[4].publish("not here");
     assert!(error.contains("a majority is needed"), "{error}");
-    let told = nodes[4].told();
-    assert!(told.number == 3 && told.log_silent_ms > 3_000, "{told:?}");
+    let status = nodes[4].status();
+    assert!(status.number == 3 && status.log_silent_ms > 3_000, "{status:?}");
     relay.heal();
-    in_force(&nodes, &all, 4);
+    wait_in_force(&nodes, &all, 4);
 
     drop(nodes);
     let _ = std::fs::remove_dir_all(&folder);
