--- a/crates/distribution/src/machine/publishing.rs
+++ b/crates/distribution/src/machine/publishing.rs
@@ -59,7 +59,7 @@
     Behind,
     /// The document or the delta is too long.
     #[error(
-        "content has {0} bytes, at most {MAX_CONTENT_BYTES} are possible; remove entries that are not needed"
+        "content has {0} bytes, at most {MAX_CONTENT_BYTES} are allowed; remove entries that are not needed"
     )]
     TooLong(usize),
     /// Too many publications are in progress.
--- a/crates/node/tests/unit/console_configuration.rs
+++ b/crates/node/tests/unit/console_configuration.rs
@@ -172,7 +172,7 @@
         (delta(0, &set("tenants", "t t", "{\"share\": 0}")), 400, "tenants.\"t t\": the name has a space"),
         (delta(0, &set("classes", "other", class)), 400, "classes.other: this node was started without it"),
         (delta(0, &set("tenants", "t", "{\"shares\": 0}")), 400, "body: unknown field `shares`"),
-        (delta(0, r#""tenants": {}"#), 400, "delta: it changes nothing"),
+        (delta(0, r#""tenants": {}"#), 400, "delta: changes nothing"),
         ("{}".to_owned(), 400, "body: missing field `delta`"),
     ] {
         let (answered, text) = console.call("POST", "/fleet/configuration", &body).await;
@@ -184,7 +184,7 @@
     assert_eq!((status, text.contains("revision 0 is in force")), (409, true), "{text}");
     let (status, text) =
         console.call("POST", "/fleet/configuration/rollback", r#"{"from": 0, "to": 7}"#).await;
-    assert_eq!((status, text.contains("revision 7 is not held here")), (409, true), "{text}");
+    assert_eq!((status, text.contains("revision 7 is not stored at this node")), (409, true), "{text}");
     assert!(console.publisher.published.lock().unwrap().is_empty());
 }
 
--- a/crates/revision/benches/delta.rs
+++ b/crates/revision/benches/delta.rs
@@ -1,4 +1,4 @@
-//! Time and bytes of deltas at the size that is planned for.
+//! Benchmarks the size and speed of documents and deltas at the planned size.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -9,8 +9,8 @@
 use criterion::{criterion_group, criterion_main, Criterion};
 use merlinfold_revision::{Delta, Document, Revision};
 
-/// The delta that changes the limits of the first so many tenants.
-fn change_of(tenants: usize, in_force: &Revision) -> Delta {
+/// Returns a delta that changes the limits of the first `tenants` tenants.
+fn change_tenants(tenants: usize, in_force: &Revision) -> Delta {
     let mut document = Document::clone(&in_force.document);
     for tenant in document.tenants.values_mut().take(tenants) {
         tenant.requests_per_1000_s = Some(7);
@@ -29,7 +29,7 @@
         bench.iter(|| Document::decode(black_box(&encoded)).unwrap());
     });
     for tenants in [1, common::TENANTS] {
-        let delta = change_of(tenants, &in_force);
+        let delta = change_tenants(tenants, &in_force);
         let bytes = delta.encode();
         println!("delta of {tenants} tenants: {} bytes", bytes.len());
         criterion.bench_function(&format!("delta of {tenants} tenants/decode"), |bench| {
--- a/crates/revision/src/delta.rs
+++ b/crates/revision/src/delta.rs
@@ -1,4 +1,4 @@
-//! A change of a document: entries to set and keys to remove, against a base.
+//! A change of a document: entries to set and keys to remove, relative to a base revision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,24 +11,25 @@
 use crate::revision::Revision;
 use crate::unique_keys;
 
-/// The revision that a delta is based on. Number and digest together also tell two histories apart.
+/// The revision that a delta is based on. The digest distinguishes revisions of different histories with the same
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Base {
-    /// Its number.
+    /// Number of the revision.
     pub revision: u64,
-    /// The digest of its document.
+    /// Digest of its document.
     pub digest: Digest,
 }
 
-/// What changes in one section.
+/// The changes of one section.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Changes<T: for<'read> Deserialize<'read>> {
-    /// Entries that are added or replaced.
+    /// Entries to add or replace.
     #[serde(deserialize_with = "unique_keys::unique_map")]
     pub set: BTreeMap<String, T>,
-    /// Keys that are removed.
+    /// Keys to remove.
     #[serde(deserialize_with = "unique_keys::unique_set")]
     pub remove: BTreeSet<String>,
 }
@@ -43,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delta {
-    /// What it is based on.
+    /// The revision that the delta is based on.
     pub base: Base,
     /// Changes of routes.
     #[serde(default)]
@@ -60,7 +61,7 @@
 }
 
 impl Delta {
-    /// One that changes nothing yet.
+    /// Creates a delta without changes.
     pub fn new(base: Base) -> Self {
         Delta {
             base,
@@ -71,8 +72,8 @@
         }
     }
 
-    /// What leads from the revision in force to another document. Going back to an older document is the delta
-    /// to its content, and makes a new revision.
+    /// Returns the delta from the revision in force to another document. A rollback is the delta to an older document
+    /// and makes a new revision.
     pub fn between(in_force: &Revision, to: &Document) -> Self {
         let from = &*in_force.document;
         Delta {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The document after the change, valid and whole.
+    /// Returns the changed document, which is valid and complete.
     pub fn apply(&self, in_force: &Revision) -> Result<Document, DocumentError> {
         self.check_base(in_force)?;
         let document = &*in_force.document;
@@ -116,7 +117,7 @@
         Ok(())
     }
 
-    /// A route that has lost its class by this delta is told as the removal that did it.
+    /// Reports a route whose class this delta removes as an error of the removal.
     fn check_removed_classes(&self, changed: &Document) -> Result<(), DocumentError> {
         let uses = |(_, route): &(&String, &Route)| self.classes.remove.contains(&route.class);
         match changed.routes.iter().find(uses) {
--- a/crates/revision/src/digest.rs
+++ b/crates/revision/src/digest.rs
@@ -1,4 +1,4 @@
-//! SHA-256 of encoded content.
+//! SHA-256 digests of encoded content.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,17 +10,17 @@
 
 const BYTES: usize = 32;
 
-/// SHA-256 of an encoded document or delta. Text form: 64 lower-case hex digits.
+/// SHA-256 digest of an encoded document or delta. Its text form has 64 lower-case hex digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; BYTES]);
 
-/// The text is no digest.
+/// The text is not a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("no digest: 64 lower-case hex digits are needed; copy it from what the node shows")]
+#[error("not a digest: expected 64 lower-case hex digits; copy the digest that the node shows")]
 pub struct DigestError;
 
 impl Digest {
-    /// Of these bytes.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Digest(Sha256::digest(bytes).into())
     }
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -1,4 +1,4 @@
-//! A whole configuration. All quantities are integers, so that equal content has equal bytes.
+//! A whole configuration document. All quantities are integers, so that equal content has equal bytes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,23 +7,23 @@
 
 use crate::unique_keys;
 
-/// Where requests whose path starts with a prefix go.
+/// The service and the class of requests whose path starts with a prefix.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The service that serves them.
+    /// Name of the service that answers these requests.
     pub service: String,
-    /// Their class.
+    /// Name of the class of these requests.
     pub class: String,
 }
 
-/// What a tenant may use.
+/// Capacity that a tenant may use.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its share of what tenants have in common, in billionths; 0: none is set aside for it.
+    /// Share of the capacity common to all tenants that is reserved for this tenant, in billionths; 0 if none is.
     pub share: u32,
-    /// Its limit over all nodes, in requests per 1,000 s; none: only its share limits it.
+    /// Limit over all nodes, in requests per 1,000 s; `None` if only the share limits the tenant.
     pub requests_per_1000_s: Option<u64>,
 }
 
@@ -37,7 +37,7 @@
     Milliseconds,
     /// Millionths of one.
     Millionths,
-    /// Requests in 1,000 seconds, over all nodes.
+    /// Requests per 1,000 seconds, over all nodes.
     #[serde(rename = "requests_per_1000_s")]
     RequestsPer1000S,
 }
@@ -59,31 +59,31 @@
 pub struct Limit {
     /// The number.
     pub value: u64,
-    /// Its unit.
+    /// Unit of the number.
     pub unit: Unit,
-    /// Least value that makes sense.
+    /// Minimum of the value.
     pub least: u64,
-    /// Largest value that makes sense.
+    /// Maximum of the value.
     pub most: u64,
 }
 
-/// The properties of a class of requests that may change while nodes run.
+/// Properties of a class of requests that may change while nodes run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassProperties {
-    /// An answer within this time earns the full worth, in milliseconds.
+    /// An answer within this time earns the full value, in milliseconds.
     pub aim_ms: u32,
-    /// Worth of one request, in millionths.
+    /// Value of a request that is answered in time, in millionths.
     pub worth: u32,
-    /// Share of the worth that a late answer still earns, in millionths.
+    /// Share of this value that a late answer still earns, in millionths.
     pub late_worth: u32,
 }
 
-/// The whole configuration at one revision. Entries are held in the order of their keys.
+/// The whole configuration at one revision. Entries are sorted by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// Routes by path prefix; the longest prefix that fits decides.
+    /// Routes by path prefix; the longest matching prefix applies.
     #[serde(deserialize_with = "unique_keys::unique_map")]
     pub routes: BTreeMap<String, Route>,
     /// Tenants by name.
@@ -97,16 +97,16 @@
     pub classes: BTreeMap<String, ClassProperties>,
 }
 
-/// A part of a document.
+/// A section of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Section {
-    /// [`Document::routes`].
+    /// The section [`Document::routes`].
     Routes,
-    /// [`Document::tenants`].
+    /// The section [`Document::tenants`].
     Tenants,
-    /// [`Document::limits`].
+    /// The section [`Document::limits`].
     Limits,
-    /// [`Document::classes`].
+    /// The section [`Document::classes`].
     Classes,
 }
 
--- a/crates/revision/src/encoding.rs
+++ b/crates/revision/src/encoding.rs
@@ -1,7 +1,7 @@
-//! The canonical encoding: what it is, the format version, then the content in postcard.
+//! The canonical encoding: magic bytes for the kind of content, the format version, then the content in postcard.
 //!
-//! Keys are encoded in ascending order and integers in their shortest form. Bytes that decode but are not what
-//! encoding yields are refused, so one content has exactly one encoding and one digest.
+//! Keys are encoded in ascending order and integers in their shortest form. Bytes that decode but differ from the
+//! encoding of the decoded value are rejected, so one content has exactly one encoding and one digest.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -13,69 +13,70 @@
 use crate::document::Document;
 use crate::error::DocumentError;
 
-/// Version of the encoding that this program writes, and the only one that it reads.
+/// Version of the format that this program writes, and the only one that it reads.
 pub const FORMAT_VERSION: u16 = 1;
 
 const DOCUMENT_MAGIC: [u8; 4] = *b"mfcd";
 const DELTA_MAGIC: [u8; 4] = *b"mfcc";
 const HEADER_BYTES: usize = 6;
 
-/// Why bytes are no document or delta for this program.
+/// Why bytes cannot be decoded as a document or delta.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// A format that this version does not know.
+    /// This version does not support the format.
     #[error(
-        "configuration format {0}; this version knows {FORMAT_VERSION}: finish the upgrade of this node"
+        "configuration format {0} is not supported, this version supports {FORMAT_VERSION}; \
+         finish the upgrade of this node"
     )]
     UnknownVersion(u16),
-    /// The bytes are something else.
-    #[error("no {0}: the first bytes are those of something else")]
+    /// The bytes are not of the expected kind.
+    #[error("not a {0}: the first bytes are those of another kind of content")]
     WrongKind(&'static str),
-    /// The bytes are cut short or damaged.
-    #[error("{0}: cut short or damaged; fetch it again")]
+    /// The bytes are truncated or damaged.
+    #[error("{0}: truncated or damaged; fetch it again")]
     Malformed(&'static str),
-    /// The same content has another encoding.
+    /// The bytes are not the canonical encoding of their content.
     #[error("{0}: not in canonical form; encode it with this program")]
     NotCanonical(&'static str),
-    /// More bytes than are ever valid.
-    #[error("{0} bytes, {MAX_ENCODED_BYTES} are possible")]
+    /// The encoding exceeds [`MAX_ENCODED_BYTES`].
+    #[error("{0} bytes, at most {MAX_ENCODED_BYTES} are allowed")]
     TooLong(usize),
-    /// It can be read, and cannot be in force.
+    /// The document was decoded but is not valid.
     #[error(transparent)]
     Invalid(#[from] DocumentError),
 }
 
 impl Document {
-    /// The canonical encoding.
+    /// Returns the canonical encoding.
     pub fn encode(&self) -> Vec<u8> {
         encode(DOCUMENT_MAGIC, self)
     }
 
-    /// Reads a canonical encoding; the document is valid.
+    /// Decodes a canonical encoding and validates the document.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let document: Document = decode(DOCUMENT_MAGIC, "document", bytes)?;
         document.validate()?;
         Ok(document)
     }
 
-    /// The digest of the canonical encoding.
+    /// Returns the digest of the canonical encoding.
     pub fn digest(&self) -> Digest {
         Digest::of(&self.encode())
     }
 }
 
 impl Delta {
-    /// The canonical encoding.
+    /// Returns the canonical encoding.
     pub fn encode(&self) -> Vec<u8> {
         encode(DELTA_MAGIC, self)
     }
 
-    /// Reads a canonical encoding. Whether it fits a document shows when it is applied.
+    /// Decodes a canonical encoding. [`Delta::apply`] checks whether the delta matches a document.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         decode(DELTA_MAGIC, "delta", bytes)
     }
 
-    /// The digest of the canonical encoding.
+    /// Returns the digest of the canonical encoding.
     pub fn digest(&self) -> Digest {
         Digest::of(&self.encode())
     }
@@ -105,7 +106,7 @@
     Ok(decoded)
 }
 
-/// What follows the header.
+/// Checks the header and returns the bytes after it.
 fn check_header<'a>(magic: [u8; 4], kind: &'static str, bytes: &'a [u8]) -> Result<&'a [u8], DecodeError> {
     let (header, content) = bytes.split_at_checked(HEADER_BYTES).ok_or(DecodeError::Malformed(kind))?;
     if header[..4] != magic {
--- a/crates/revision/src/error.rs
+++ b/crates/revision/src/error.rs
@@ -1,92 +1,100 @@
-//! Why a delta or document is refused: the key, what is wrong with it, and what to do.
+//! Why a delta or document is rejected. Each error text names the key, the problem and the remedy.
 
 use thiserror::Error;
 
 use crate::bounds::*;
 use crate::document::Section;
 
-/// Why a delta or document is refused.
+/// Why a delta or document is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DocumentError {
     /// The revision in force is not the one that the delta is based on.
     #[error(
-        "base: {base}, but revision {in_force} is in force: another change came first; read it again and decide anew"
+        "base: {base}, but revision {in_force} is in force, because another change came first; \
+         read the document again and rebuild the change on it"
     )]
     Conflict {
-        /// The revision that the delta names.
+        /// The base revision of the delta.
         base: u64,
         /// The revision in force.
         in_force: u64,
     },
-    /// The base has the number of the revision in force and another content.
+    /// The base has the number of the revision in force but another content.
     #[error(
-        "base: revision {base} has another digest here: the fleet's log began anew; read it again and decide anew"
+        "base: revision {base} has another digest at this node, the fleet's log was created anew; \
+         read the document again and rebuild the change on it"
     )]
     DigestMismatch {
-        /// The revision that the delta names.
+        /// The base revision of the delta.
         base: u64,
     },
-    /// The delta leaves everything as it is.
-    #[error("delta: it changes nothing; set or remove at least one key")]
+    /// The delta changes nothing.
+    #[error("delta: changes nothing; set or remove at least one key")]
     NoChange,
     /// A key is both set and removed.
-    #[error("{section}.{key}: both set and removed; keep one of the two")]
+    #[error("{section}.{key}: is both set and removed; keep one of the two")]
     SetAndRemoved {
-        /// Where it stands.
+        /// Section of the key.
         section: Section,
         /// The key.
         key: String,
     },
-    /// A key to be removed is not there.
-    #[error("{section}.{key}: not there, so it cannot be removed; leave it out of `remove`")]
+    /// A key to be removed does not exist.
+    #[error("{section}.{key}: does not exist, so it cannot be removed; leave it out of `remove`")]
     NotFound {
-        /// Where it should stand.
+        /// Section of the key.
         section: Section,
         /// The key.
         key: String,
     },
-    /// A key that no entry can have.
+    /// A key is not a valid name or prefix.
     #[error("{section}.{key:?}: {reason}; choose another key")]
     InvalidKey {
-        /// Where it stands.
+        /// Section of the key.
         section: Section,
         /// The key.
         key: String,
-        /// What is wrong with it.
+        /// The problem with the key.
         reason: &'static str,
     },
     /// A section has too many entries.
-    #[error("{section}: {count} entries, {max} are possible; remove some in the same delta")]
+    #[error("{section}: {count} entries, at most {max} are allowed; remove some in the same delta")]
     TooMany {
         /// The section.
         section: Section,
-        /// Entries that it would have.
+        /// Number of entries after the change.
         count: usize,
-        /// Entries that it may have.
+        /// Maximum number of entries.
         max: usize,
     },
-    /// Routes lead to too many different services.
-    #[error("routes: {count} different services, {MAX_SERVICES} are possible; merge or remove some in the same delta")]
+    /// The routes name too many different services.
+    #[error(
+        "routes: {count} different services, at most {MAX_SERVICES} are allowed; \
+         merge or remove some in the same delta"
+    )]
     TooManyServices {
-        /// Services that there would be.
+        /// Number of different services after the change.
         count: usize,
     },
-    /// The name of a route's service is none.
-    #[error("routes.{prefix}.service: {service:?} is no name; 1 to {MAX_NAME_BYTES} printable characters without spaces")]
+    /// The service of a route is not a valid name.
+    #[error(
+        "routes.{prefix}.service: {service:?} is not a valid name; \
+         use 1 to {MAX_NAME_BYTES} bytes of printable characters without spaces"
+    )]
     InvalidService {
-        /// The route.
+        /// Path prefix of the route.
         prefix: String,
-        /// The service that it names.
+        /// The service that the route names.
         service: String,
     },
-    /// A route leads to a class that does not exist.
+    /// The class of a route does not exist.
     #[error(
-        "routes.{prefix}.class: there is no class {class}; set it in the same delta or name one that exists"
+        "routes.{prefix}.class: class {class} does not exist; set it in the same delta or name an existing one"
     )]
     UnknownClass {
-        /// The route.
+        /// Path prefix of the route.
         prefix: String,
-        /// The class that it names.
+        /// The class that the route names.
         class: String,
     },
     /// A class is removed while a route uses it.
@@ -94,37 +102,37 @@
     ClassInUse {
         /// The class.
         class: String,
-        /// The first route that uses it.
+        /// Path prefix of the first route that uses it.
         prefix: String,
     },
     /// A number is out of its bounds.
     #[error("{section}.{key}.{field}: {value} is not within {min} and {max}; choose a value that is")]
     OutOfBounds {
-        /// Where it stands.
+        /// Section of the entry.
         section: Section,
-        /// The key of its entry.
+        /// Key of the entry.
         key: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: u64,
-        /// Least value that is possible.
+        /// Minimum of the field.
         min: u64,
-        /// Largest value that is possible.
+        /// Maximum of the field.
         max: u64,
     },
-    /// Tenants have more than there is.
-    #[error("tenants: shares add up to {sum}, {TOTAL_SHARE} is all there is; lower some in the same delta")]
+    /// The shares of all tenants add up to more than [`TOTAL_SHARE`].
+    #[error("tenants: the shares add up to {sum}, at most {TOTAL_SHARE} are allowed; lower some in the same delta")]
     ShareSumExceeded {
-        /// Their sum.
+        /// Sum of the shares.
         sum: u64,
     },
-    /// The encoded form would be too long.
+    /// The encoded document would be too long.
     #[error(
-        "document: {bytes} bytes encoded, {MAX_ENCODED_BYTES} are possible; remove entries or shorten names"
+        "document: {bytes} bytes encoded, at most {MAX_ENCODED_BYTES} are allowed; remove entries or shorten names"
     )]
     TooLong {
-        /// Its length.
+        /// Length of the encoded document in bytes.
         bytes: usize,
     },
 }
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -1,4 +1,4 @@
-//! The way back from the revision in force to earlier ones, as deltas.
+//! Rollback: deltas from the revision in force back to earlier ones.
 
 use std::collections::VecDeque;
 
@@ -14,39 +14,43 @@
 /// One step back.
 #[derive(Clone, Debug)]
 struct Step {
-    /// Number of the revision that it leads to.
+    /// Number of the revision that the step leads to.
     to: u64,
-    /// The encoded delta from the revision after it.
+    /// The encoded delta from the following revision.
     delta: Vec<u8>,
 }
 
-/// Why an earlier document cannot be made.
+/// Why an earlier document cannot be restored.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HistoryError {
-    /// It is too old, has never been, or came before this process.
-    #[error("revision {revision} is not held here, {} is the earliest; ask a node that has been up for longer", known(.earliest))]
+    /// The revision is too old, never existed, or preceded the start of this process.
+    #[error(
+        "revision {revision} is not stored at this node, the earliest is {}; \
+         use a node that has been running longer",
+        earliest_text(.earliest)
+    )]
     Unknown {
-        /// The revision that was asked for.
+        /// The requested revision.
         revision: u64,
-        /// The earliest that is held, if any.
+        /// The earliest stored revision, if any.
         earliest: Option<u64>,
     },
-    /// What is held does not fit together: a fault of the program.
-    #[error("what is held of earlier revisions cannot be read: {0}; ask another node")]
+    /// The stored deltas are inconsistent, which is a defect of the program.
+    #[error("the stored deltas cannot be read: {0}; use another node")]
     Unreadable(#[from] DecodeError),
 }
 
 impl From<DocumentError> for HistoryError {
-    fn from(fault: DocumentError) -> Self {
-        HistoryError::Unreadable(fault.into())
+    fn from(error: DocumentError) -> Self {
+        HistoryError::Unreadable(error.into())
     }
 }
 
-fn known(earliest: &Option<u64>) -> String {
+fn earliest_text(earliest: &Option<u64>) -> String {
     earliest.map_or_else(|| "none".to_owned(), |number| number.to_string())
 }
 
-/// Deltas that lead back from one revision to the one before, newest last. Bounded in number and bytes.
+/// Deltas from each revision back to the one before it, the newest last. Bounded in number and bytes.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     steps: VecDeque<Step>,
@@ -54,7 +58,7 @@
 }
 
 impl History {
-    /// Notes that one revision has followed another.
+    /// Records the step from the revision `before` to the revision `after`.
     pub fn record(&mut self, before: &Revision, after: &Revision) {
         let delta = Delta::between(after, &before.document).encode();
         self.bytes += delta.len();
@@ -65,17 +69,17 @@
         }
     }
 
-    /// Forgets everything: the next revision does not follow from what is held.
+    /// Drops all deltas, because the next revision does not follow from the stored ones.
     pub fn clear(&mut self) {
         *self = History::default();
     }
 
-    /// Numbers of the revisions that can be gone back to, the earliest first.
+    /// Returns the numbers of the revisions that can be restored, the earliest first.
     pub fn revisions(&self) -> impl Iterator<Item = u64> + '_ {
         self.steps.iter().map(|step| step.to)
     }
 
-    /// The document of an earlier revision, made from the one in force.
+    /// Returns the document of an earlier revision, computed from the revision in force.
     pub fn document(&self, revision: u64, in_force: &Revision) -> Result<Document, HistoryError> {
         if !self.revisions().any(|number| number == revision) {
             return Err(HistoryError::Unknown { revision, earliest: self.revisions().next() });
--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -1,11 +1,11 @@
 //! Versioned configuration of a fleet: routes, tenants, limits and classes.
 //!
 //! A [`Document`] is the whole configuration at one revision. A [`Delta`] changes it: it names the revision
-//! it is based on and sets or removes single entries. Applying a delta either yields a whole, valid document
-//! or a [`DocumentError`] that names the key, what is wrong with it and what to do; the base is never modified.
+//! it is based on and sets or removes single entries. Applying a delta returns a complete, valid document
+//! or a [`DocumentError`] that names the key, the problem and the remedy; the base is never modified.
 //!
 //! Both have one canonical encoding with a format version, so the same content has the same [`Digest`] at
-//! every node. The crate has no input or output: how bytes reach a node is left to its caller.
+//! every node. The crate has no input or output; the caller transports the bytes.
 //!
 //! ```
 //! use merlinfold_revision::{ClassProperties, Delta, Document, Revision};
--- a/crates/revision/src/validation.rs
+++ b/crates/revision/src/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a document can be in force at all, whatever the node.
+//! Validation of documents, independent of the node.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use crate::error::DocumentError;
 
 impl Document {
-    /// Whether the document keeps to every bound and refers only to what is in it. The first fault is named.
+    /// Checks that the document is within all bounds and that its references exist. Returns the first problem.
     pub fn validate(&self) -> Result<(), DocumentError> {
         validate_count(Section::Routes, self.routes.len(), MAX_ROUTES)?;
         validate_count(Section::Tenants, self.tenants.len(), MAX_TENANTS)?;
@@ -79,7 +79,7 @@
     }
 }
 
-/// What is wrong with a name, if anything.
+/// Returns the problem with a name, if any.
 fn invalid_name_reason(name: &str) -> Option<&'static str> {
     match name {
         "" => Some("the name is empty"),
@@ -89,7 +89,7 @@
     }
 }
 
-/// What is wrong with a path prefix, if anything.
+/// Returns the problem with a path prefix, if any.
 fn invalid_prefix_reason(prefix: &str) -> Option<&'static str> {
     match prefix {
         _ if !prefix.starts_with('/') => Some("the prefix does not begin with a slash"),
--- a/crates/revision/tests/common/mod.rs
+++ b/crates/revision/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Documents for tests and benches.
-#![allow(dead_code)] // each user takes a part
+//! Documents for tests and benchmarks.
+#![allow(dead_code)] // each test and benchmark uses some of the items
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use proptest::collection::btree_map;
 use proptest::prelude::*;
 
-/// Routes, tenants and services at the size that is planned for.
+/// Number of routes, tenants and services at the planned size.
 pub const ROUTES: usize = 3_400;
 pub const TENANTS: usize = 30_000;
 pub const SERVICES: usize = 270;
@@ -24,7 +24,7 @@
     Limit { value, unit: Unit::Count, least: 1, most: 10 }
 }
 
-/// A document of the size that is planned for.
+/// Returns a valid document of the planned size.
 pub fn large() -> Document {
     let tenants = (0..TENANTS).map(|n| {
         let tenant = Tenant { share: 30_000, requests_per_1000_s: Some(1_000 + n as u64) };
@@ -53,7 +53,7 @@
         .prop_map(|(share, requests_per_1000_s)| Tenant { share, requests_per_1000_s })
 }
 
-/// Any small valid document: classes `a` to `c` are always there, so that routes have some to lead to.
+/// Generates small valid documents. Classes `a` to `c` always exist, so that routes can refer to them.
 pub fn any_document() -> impl Strategy<Value = Document> {
     let classes = btree_map("[a-c]", any_class(), 0..3);
     let routes = btree_map("/[a-d]{0,2}", ("[s-v]", "[a-c]"), 0..6);
--- a/crates/revision/tests/history.rs
+++ b/crates/revision/tests/history.rs
@@ -1,4 +1,4 @@
-//! Going back.
+//! Tests of the history of revisions.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Guards going back: every earlier document that is held comes back as it was, with its digest.
+    /// Every stored revision can be restored with its content and digest.
     #[test]
-    fn every_revision_that_is_held_can_be_gone_back_to(documents in vec(any_document(), 2..8)) {
+    fn every_stored_revision_can_be_restored(documents in vec(any_document(), 2..8)) {
         let mut documents = documents;
         documents.dedup();
         let revisions: Vec<Revision> =
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn a_revision_that_is_not_held_is_refused_by_its_number() {
+fn restoring_a_revision_that_is_not_stored_returns_its_number() {
     let history = History::default();
-    let fault = history.document(7, &Revision::default()).unwrap_err();
-    assert_eq!(fault, HistoryError::Unknown { revision: 7, earliest: None });
-    assert!(fault.to_string().contains("none is the earliest"), "{fault}");
+    let error = history.document(7, &Revision::default()).unwrap_err();
+    assert_eq!(error, HistoryError::Unknown { revision: 7, earliest: None });
+    assert!(error.to_string().contains("the earliest is none"), "{error}");
 }
 
-/// Guards memory: a node that is told of every tenant again and again.
+/// The history of a node that receives changes of all tenants again and again must not exhaust its memory.
 #[test]
 fn the_history_is_bounded_in_bytes() {
     let mut history = History::default();
@@ -46,13 +46,13 @@
         history.record(&before, &after);
         before = after;
     }
-    let held = history.revisions().count();
-    assert!((2..12).contains(&held), "{held} of {MAX_HISTORY_BYTES} bytes");
+    let stored = history.revisions().count();
+    assert!((2..12).contains(&stored), "{stored} deltas within {MAX_HISTORY_BYTES} bytes");
 }
 
-/// Guards memory: a node that runs for years.
+/// The history of a node that runs for years must not exhaust its memory.
 #[test]
-fn the_history_is_bounded_in_number() {
+fn the_history_is_bounded_in_number_of_deltas() {
     let mut history = History::default();
     let mut before = Revision::default();
     for number in 1..=MAX_HISTORY_DELTAS as u64 + 5 {
--- a/crates/revision/tests/properties.rs
+++ b/crates/revision/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Laws of documents and deltas, by property.
+//! Properties of documents, deltas and their encoding.
 
 mod common;
 
@@ -7,9 +7,9 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Guards deltas: what is told of a change makes the same document at every node.
+    /// All nodes that apply a delta must get the same document.
     #[test]
-    fn the_delta_between_two_documents_makes_the_second_of_the_first(
+    fn applying_the_delta_between_two_documents_to_the_first_gives_the_second(
         from in any_document(), to in any_document(), number in any::<u64>(),
     ) {
         let in_force = Revision::new(number, from.clone());
@@ -24,9 +24,9 @@
         }
     }
 
-    /// Guards going back: an older document comes into force as a new revision with the same digest.
+    /// A rollback puts an older document in force as a new revision with the same digest.
     #[test]
-    fn going_back_makes_the_older_content_a_new_revision(first in any_document(), second in any_document()) {
+    fn a_rollback_makes_a_new_revision_with_the_older_content(first in any_document(), second in any_document()) {
         prop_assume!(first != second);
         let first = Revision::new(1, first);
         let second = Revision::new(2, Delta::between(&first, &second).apply(&first).unwrap());
@@ -36,15 +36,15 @@
     }
 
     #[test]
-    fn encoding_and_decoding_give_the_same_content(from in any_document(), to in any_document()) {
+    fn decoding_an_encoding_gives_the_same_content(from in any_document(), to in any_document()) {
         prop_assert_eq!(Document::decode(&to.encode()).unwrap(), to.clone());
         let delta = Delta::between(&Revision::new(7, from), &to);
         prop_assert_eq!(Delta::decode(&delta.encode()).unwrap(), delta);
     }
 
-    /// Guards one digest everywhere: it depends on the content, not on the order in which it came to be.
+    /// The digest depends on the content only, not on the order in which entries were inserted.
     #[test]
-    fn the_digest_is_the_same_in_whatever_order_entries_came(document in any_document(), seed in any::<u64>()) {
+    fn the_digest_does_not_depend_on_the_order_of_insertion(document in any_document(), seed in any::<u64>()) {
         let mut keys: Vec<&String> = document.tenants.keys().collect();
         keys.sort_by_key(|key| Digest::of(format!("{seed}{key}").as_bytes()));
         let mut rebuilt = Document { tenants: Default::default(), ..document.clone() };
@@ -56,9 +56,9 @@
         prop_assert_eq!(serde_json::from_str::<Document>(&text).unwrap().digest(), document.digest());
     }
 
-    /// Guards "all or nothing": a delta of which one part is at fault changes nothing at all.
+    /// A delta is applied completely or not at all: one invalid part must not leave other parts applied.
     #[test]
-    fn a_refused_delta_leaves_the_document_as_it_was(from in any_document(), to in any_document()) {
+    fn a_rejected_delta_leaves_the_document_unchanged(from in any_document(), to in any_document()) {
         let in_force = Revision::new(4, from.clone());
         let mut delta = Delta::between(&in_force, &to);
         delta.tenants.remove.insert("nobody".to_owned());
@@ -67,9 +67,9 @@
         prop_assert_eq!(in_force.digest, from.digest());
     }
 
-    /// Whatever the bytes are, reading them ends in a value with just these bytes or a typed error.
+    /// Decoding of random bytes returns an error or a value whose encoding is these bytes.
     #[test]
-    fn any_bytes_end_in_a_canonical_value_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_decode_to_a_canonical_value_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(document) = Document::decode(&bytes) {
             prop_assert_eq!(document.encode(), bytes.clone());
         }
@@ -78,9 +78,9 @@
         }
     }
 
-    /// The same of bytes that are nearly right.
+    /// The same holds for valid encodings that were truncated or damaged in one byte.
     #[test]
-    fn damaged_bytes_end_in_a_canonical_value_or_an_error(
+    fn damaged_encodings_decode_to_a_canonical_value_or_an_error(
         document in any_document(), at in any::<prop::sample::Index>(), change in 1..=255u8, cut in any::<bool>(),
     ) {
         let mut bytes = document.encode();
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn the_size_that_is_planned_for_is_valid_and_fits() {
+fn a_document_of_the_planned_size_is_valid_and_can_be_encoded() {
     let document = large();
     document.validate().unwrap();
     assert_eq!(Document::decode(&document.encode()).unwrap(), document);
 }
 
-/// Guards digests across versions: nodes of two builds must agree on the bytes of one content.
+/// Nodes of different builds must compute the same digest, so the encoding of a content must not change.
 #[test]
 fn the_digest_of_a_known_document_does_not_change() {
     let text = r#"{"routes": {"/g": {"service": "guides", "class": "read"}},
@@ -118,16 +118,16 @@
 }
 
 #[test]
-fn a_later_format_is_refused_by_its_number() {
+fn a_later_format_is_rejected_with_its_version() {
     let mut bytes = Document::default().encode();
     bytes[4..6].copy_from_slice(&(FORMAT_VERSION + 1).to_be_bytes());
     assert_eq!(Document::decode(&bytes), Err(DecodeError::UnknownVersion(2)));
     assert!(matches!(Delta::decode(&bytes), Err(DecodeError::WrongKind(_))));
 }
 
-/// Guards the one encoding: a longer form of the same number is not taken.
+/// A number in a longer form would give the same content a second digest.
 #[test]
-fn a_second_encoding_of_the_same_content_is_refused() {
+fn a_non_canonical_encoding_is_rejected() {
     let mut bytes = Document::default().encode();
     let last = bytes.pop().unwrap();
     bytes.extend([last | 0x80, 0]);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_document_that_cannot_be_in_force_is_not_decoded() {
+fn an_invalid_document_is_rejected_when_decoded() {
     let mut document = large();
     document.classes.clear();
     assert!(matches!(Document::decode(&document.encode()), Err(DecodeError::Invalid(_))));
