--- a/crates/fault-injection/src/catalogue.rs
+++ b/crates/fault-injection/src/catalogue.rs
@@ -1,9 +1,9 @@
 //! The trials that are kept, by name, with the text of their files.
 
-use crate::spec::Trial;
+use crate::scenario::Scenario;
 
 /// All of them.
-pub const KEPT: &[(&str, &str)] = &[
+pub const SCENARIOS: &[(&str, &str)] = &[
     ("all-heals-at-once", include_str!("../trials/all-heals-at-once.toml")),
     ("bridge", include_str!("../trials/bridge.toml")),
     ("calm-at-size", include_str!("../trials/calm-at-size.toml")),
@@ -35,10 +35,10 @@
 ];
 
 /// A kept trial. The error names those that are there.
-pub fn find(name: &str) -> Result<Trial, String> {
-    let Some((_, text)) = KEPT.iter().find(|(kept, _)| *kept == name) else {
-        let kept: Vec<&str> = KEPT.iter().map(|(kept, _)| *kept).collect();
+pub fn find(name: &str) -> Result<Scenario, String> {
+    let Some((_, text)) = SCENARIOS.iter().find(|(kept, _)| *kept == name) else {
+        let kept: Vec<&str> = SCENARIOS.iter().map(|(kept, _)| *kept).collect();
         return Err(format!("no trial {name}; trials that are kept: {}", kept.join(", ")));
     };
-    Trial::parse(text).map_err(|fault| format!("{name}:{fault}"))
+    Scenario::parse(text).map_err(|fault| format!("{name}:{fault}"))
 }
--- a/crates/fault-injection/src/configuration/draw.rs
+++ b/crates/fault-injection/src/configuration/generate.rs
@@ -3,15 +3,15 @@
 use merlinfold_simulation::seed::{Seed, Stream};
 use rand::Rng;
 
-use super::player::World;
-use crate::spec::{DiskFault, Fault, Fleet, Kept, Network, Rules, Trial, What};
+use super::simulator::ConfigurationScenario;
+use crate::scenario::{DiskContents, DiskFault, Fault, FaultKind, Fleet, Network, Rules, Scenario};
 
 const SECONDS: f64 = 60.0;
-const FAULTS_END: f64 = 30.0;
+const FAULTS_END_S: f64 = 30.0;
 
 /// What happens in a world beside the usual publications.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ScenarioKind {
     /// Loss, delays, splits, restarts, pauses and disks, drawn.
     Faults,
     /// Nothing fails, and publications are as far apart as on the mean day.
@@ -38,75 +38,82 @@
     Corrupt,
 }
 
-impl Kind {
+impl ScenarioKind {
     /// Whether publications are as far apart as on the mean day, up to the end.
     pub fn is_mean_day(self) -> bool {
-        matches!(self, Kind::Calm | Kind::HourApart)
+        matches!(self, ScenarioKind::Calm | ScenarioKind::HourApart)
     }
 
     /// Every kind.
-    pub const ALL: [Kind; 12] = [
-        Kind::Faults,
-        Kind::Calm,
-        Kind::HourApart,
-        Kind::MostRestart,
-        Kind::LeaderKilled,
-        Kind::Burst,
-        Kind::Large,
-        Kind::FullDisks,
-        Kind::LaterDisk,
-        Kind::NewEpoch,
-        Kind::Refused,
-        Kind::Corrupt,
+    pub const ALL: [ScenarioKind; 12] = [
+        ScenarioKind::Faults,
+        ScenarioKind::Calm,
+        ScenarioKind::HourApart,
+        ScenarioKind::MostRestart,
+        ScenarioKind::LeaderKilled,
+        ScenarioKind::Burst,
+        ScenarioKind::Large,
+        ScenarioKind::FullDisks,
+        ScenarioKind::LaterDisk,
+        ScenarioKind::NewEpoch,
+        ScenarioKind::Refused,
+        ScenarioKind::Corrupt,
     ];
 }
 
 /// The world of this seed.
-pub fn draw(seed: u64, nodes: usize, kind: Kind) -> World {
+pub fn generate(seed: u64, nodes: usize, kind: ScenarioKind) -> ConfigurationScenario {
     let mut stream = Seed(seed).stream("configuration", nodes as u64);
     let voters = if nodes >= 5 { 5 } else { 3 };
     let zones = ["a", "b", "c"][..stream.random_range(1..=3)].iter().map(|zone| (*zone).to_owned()).collect();
     let faults = match kind {
-        Kind::Faults => (0..stream.random_range(1..=5)).map(|_| fault(&mut stream, nodes, voters)).collect(),
-        Kind::Large => vec![Fault {
+        ScenarioKind::Faults => {
+            (0..stream.random_range(1..=5)).map(|_| fault(&mut stream, nodes, voters)).collect()
+        }
+        ScenarioKind::Large => vec![Fault {
             at: 24.0,
-            lasts: Some(2.0),
-            what: What::Kill { who: "share:0.3".to_owned(), disk: Kept::Empty },
+            duration: Some(2.0),
+            kind: FaultKind::Kill { who: "share:0.3".to_owned(), disk: DiskContents::Empty },
         }],
-        Kind::HourApart => vec![Fault {
+        ScenarioKind::HourApart => vec![Fault {
             at: 60.0,
-            lasts: Some(3_600.0),
-            what: What::Cut { from: "share:0.4".to_owned(), to: "rest".to_owned(), one_way: false },
+            duration: Some(3_600.0),
+            kind: FaultKind::Cut { from: "share:0.4".to_owned(), to: "rest".to_owned(), one_way: false },
         }],
-        Kind::FullDisks => vec![Fault {
+        ScenarioKind::FullDisks => vec![Fault {
             at: 1.0,
-            lasts: Some(FAULTS_END),
-            what: What::Disk { who: "share:0.33".to_owned(), does: DiskFault::Full },
+            duration: Some(FAULTS_END_S),
+            kind: FaultKind::Disk { who: "share:0.33".to_owned(), does: DiskFault::Full },
         }],
         _ => Vec::new(),
     };
-    let loss = if kind == Kind::Calm || stream.random::<bool>() { 0.0 } else { 0.05 };
-    let trial = Trial {
+    let loss = if kind == ScenarioKind::Calm || stream.random::<bool>() { 0.0 } else { 0.05 };
+    let base = Scenario {
         question: "Does the distribution keep its laws?".to_owned(),
         seed,
         seconds: match kind {
-            Kind::Calm => 600.0,
-            Kind::HourApart => 3_720.0,
+            ScenarioKind::Calm => 600.0,
+            ScenarioKind::HourApart => 3_720.0,
             _ => SECONDS,
         },
-        by_hand: false,
+        manual_only: false,
         fleet: Fleet { nodes, zones, machines: 2, seeds: 3, servers: 1, strangers: 0 },
         network: Network { loss, ..Network::default() },
         log: None,
         faults,
         rules: Rules::default(),
     };
-    World { trial, kind, voters, lasting: kind == Kind::FullDisks || stream.random::<bool>() }
+    ConfigurationScenario {
+        base,
+        kind,
+        voters,
+        durable_disks: kind == ScenarioKind::FullDisks || stream.random::<bool>(),
+    }
 }
 
 fn fault(stream: &mut Stream, nodes: usize, voters: usize) -> Fault {
-    let at = stream.random_range(3.0..FAULTS_END - 10.0);
-    let lasts = stream.random_range(0.3..10.0);
+    let at = stream.random_range(3.0..FAULTS_END_S - 10.0);
+    let duration = stream.random_range(0.3..10.0);
     // Most of what matters happens at voters and at the publisher, which come first.
     let among = if stream.random::<bool>() { (voters + 1).min(nodes) } else { nodes };
     let who = format!("node:{}", stream.random_range(0..among));
@@ -114,29 +121,29 @@
     let side = if stream.random::<bool>() { share } else { who.clone() };
     let all = || "all".to_owned();
     let disk = match stream.random_range(0..6) {
-        0 => Kept::Empty,
-        1 => Kept::Flipped,
-        2 => Kept::Torn,
-        3 => Kept::Yesterday,
-        _ => Kept::Kept,
+        0 => DiskContents::Empty,
+        1 => DiskContents::Flipped,
+        2 => DiskContents::Torn,
+        3 => DiskContents::Yesterday,
+        _ => DiskContents::Kept,
     };
-    let what = match stream.random_range(0..8) {
-        0 | 1 => What::Kill { who: side, disk },
-        2 => What::Roll { who: side, every: stream.random_range(0.3..1.5) },
-        3 => What::Pause { who },
-        4 => What::Cut { from: side, to: "rest".to_owned(), one_way: stream.random::<bool>() },
-        5 => What::Thin { from: all(), to: all(), loss: stream.random_range(0.05..0.5) },
-        6 => What::Delay {
+    let kind = match stream.random_range(0..8) {
+        0 | 1 => FaultKind::Kill { who: side, disk },
+        2 => FaultKind::Roll { who: side, every: stream.random_range(0.3..1.5) },
+        3 => FaultKind::Pause { who },
+        4 => FaultKind::Cut { from: side, to: "rest".to_owned(), one_way: stream.random::<bool>() },
+        5 => FaultKind::Thin { from: all(), to: all(), loss: stream.random_range(0.05..0.5) },
+        6 => FaultKind::Delay {
             from: side,
             to: "rest".to_owned(),
             ms: stream.random_range(1.0..300.0),
             jitter_ms: 100.0,
         },
-        _ => What::Disk {
+        _ => FaultKind::Disk {
             who: side,
             does: [DiskFault::Full, DiskFault::Gone, DiskFault::SyncFails, DiskFault::Slow]
                 [stream.random_range(0..4)],
         },
     };
-    Fault { at, lasts: Some(lasts), what }
+    Fault { at, duration: Some(duration), kind }
 }
--- a/crates/fault-injection/src/configuration/host.rs
+++ b/crates/fault-injection/src/configuration/host.rs
@@ -10,22 +10,22 @@
 
 use super::content::compose;
 use super::node::number;
-use super::player::{Ev, Player};
+use super::simulator::{QueuedEvent, Simulator};
 
-const WRITE_STEPS: usize = 4; // of a disk, a file
+const FILE_WRITE_OPERATIONS: usize = 4; // of a disk, a file
 
 /// What a host has done for its machine.
-pub enum Done {
+pub enum HostResult {
     Composed(Result<Arc<[u8]>, Rejection>),
     Applied(RevisionId, Result<(), Rejection>),
     Persisted(bool),
     Proposed(Ticket, Result<(), ProposalError>),
 }
 
-impl Player<'_> {
+impl Simulator<'_> {
     pub fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        if !self.nodes[from].is_corrupt {
-            return self.feed(to, Event::Datagram(bytes));
+        if !self.nodes[from].corrupts_pieces {
+            return self.handle_event(to, Event::Datagram(bytes));
         }
         // A node whose memory is bad: checksums of datagrams are right, content is not.
         let Ok(mut envelope) = read(bytes) else { return };
@@ -35,93 +35,98 @@
             }
         }
         if let Some(bytes) = encode(&envelope) {
-            self.feed(to, Event::Datagram(&bytes));
+            self.handle_event(to, Event::Datagram(&bytes));
         }
     }
 
-    pub fn feed(&mut self, node: usize, event: Event) {
+    pub fn handle_event(&mut self, node: usize, event: Event) {
         if !self.nodes[node].is_up() {
             return;
         }
         let Some(machine) = &mut self.nodes[node].machine else { return };
         let mut out = Vec::new();
         machine.handle(self.now, event, &mut out);
-        self.carry(node, out);
+        self.perform_actions(node, out);
     }
 
-    pub fn carry(&mut self, node: usize, out: Vec<Action>) {
+    pub fn perform_actions(&mut self, node: usize, out: Vec<Action>) {
         for action in out {
             match action {
                 Action::Send { to, bytes } => {
                     let to = number(to);
-                    for way in self.links.fate(self.now, node, to, bytes.len()) {
-                        self.push(self.now + way, Ev::Deliver { from: node, to, bytes: bytes.clone() });
+                    for way in self.links.delivery_delays(self.now, node, to, bytes.len()) {
+                        self.push(
+                            self.now + way,
+                            QueuedEvent::Deliver { from: node, to, bytes: bytes.clone() },
+                        );
                     }
                 }
                 Action::Compose { base, deltas } => {
                     let result = compose(&base, &deltas).map(Arc::from);
-                    self.later(node, 5 * MS, Done::Composed(result));
+                    self.schedule_host_result(node, 5 * MS, HostResult::Composed(result));
                 }
                 Action::Apply(document) => {
-                    self.watch.applies(self.now, node, &document);
+                    self.checker.applies(self.now, node, &document);
                     let id = document.announcement.id;
-                    let refuses = self.nodes[node].refuses == Some(id.number);
+                    let refuses = self.nodes[node].refused_number == Some(id.number);
                     let refused = Rejection("this node refuses it".to_owned());
                     let result = if refuses { Err(refused) } else { Ok(()) };
-                    self.later(node, 50 * MS, Done::Applied(id, result));
+                    self.schedule_host_result(node, 50 * MS, HostResult::Applied(id, result));
                 }
                 Action::Persist(write) => self.persist(node, &write),
                 Action::Propose { ticket, announcement, expect } => {
                     self.propose(node, ticket, announcement, expect);
                 }
                 Action::Published(ticket, outcome) => self.published(node, ticket, outcome),
-                Action::Tell(note) => self.note(node, &note),
+                Action::Tell(note) => self.record_note(node, &note),
             }
         }
         let Some(machine) = &self.nodes[node].machine else { return };
         let due = machine.due().max(self.now + MS);
         if self.nodes[node].scheduled.is_none_or(|at| due < at) {
             self.nodes[node].scheduled = Some(due);
-            self.push(due, Ev::Due(node));
+            self.push(due, QueuedEvent::Tick(node));
         }
     }
 
-    pub fn later(&mut self, node: usize, longest: Nanos, done: Done) {
-        let (start, takes) = (self.nodes[node].starts, self.stream.random_range(0..longest));
-        self.push(self.now + takes, Ev::Host { node, start, done });
+    pub fn schedule_host_result(&mut self, node: usize, longest: Nanos, done: HostResult) {
+        let (start, delay) = (self.nodes[node].starts, self.stream.random_range(0..longest));
+        self.push(self.now + delay, QueuedEvent::HostDone { node, start, done });
     }
 
-    pub fn host(&mut self, node: usize, start: u64, done: Done) {
+    pub fn deliver_host_result(&mut self, node: usize, start: u64, done: HostResult) {
         if self.nodes[node].starts != start || self.nodes[node].machine.is_none() {
             return;
         }
         if self.nodes[node].paused {
-            return self.push(self.now + 10 * MS, Ev::Host { node, start, done });
+            return self.push(self.now + 10 * MS, QueuedEvent::HostDone { node, start, done });
         }
         match done {
-            Done::Composed(result) => self.feed(node, Event::Composed(result)),
-            Done::Applied(id, result) => {
+            HostResult::Composed(result) => self.handle_event(node, Event::Composed(result)),
+            HostResult::Applied(id, result) => {
                 if result.is_ok() {
-                    self.watch.applied(node, id);
-                    self.time(node, id);
+                    self.checker.applied(node, id);
+                    self.record_apply_latency(node, id);
                 }
-                self.feed(node, Event::Applied(result));
+                self.handle_event(node, Event::Applied(result));
+            }
+            HostResult::Persisted(durable) => self.handle_event(node, Event::Persisted(durable)),
+            HostResult::Proposed(ticket, outcome) => {
+                self.handle_event(node, Event::Proposed(ticket, outcome))
             }
-            Done::Persisted(durable) => self.feed(node, Event::Persisted(durable)),
-            Done::Proposed(ticket, outcome) => self.feed(node, Event::Proposed(ticket, outcome)),
         }
     }
 
     fn persist(&mut self, node: usize, write: &Write) {
-        let of = &self.nodes[node];
-        let saved = write.save(&of.disk, &of.name);
-        let takes = MS / 2 + of.disk.takes(WRITE_STEPS);
-        let start = of.starts;
-        let done = Done::Persisted(saved.is_ok());
-        self.push(self.now + takes, Ev::Host { node, start, done });
+        let node_state = &self.nodes[node];
+        let saved = write.save(&node_state.disk, &node_state.name);
+        let delay = MS / 2 + node_state.disk.operation_delay(FILE_WRITE_OPERATIONS);
+        let start = node_state.starts;
+        let done = HostResult::Persisted(saved.is_ok());
+        self.push(self.now + delay, QueuedEvent::HostDone { node, start, done });
     }
 
-    fn note(&mut self, node: usize, note: &Note) {
+    fn record_note(&mut self, node: usize, note: &Note) {
         self.line(Some(node), || format!("{note:?}"));
         let kind = match note {
             Note::InForce(_) => return,
@@ -129,12 +134,12 @@
             Note::BadContent(..) => "bad content",
             Note::BadChain(_) => "bad chain",
             Note::SetAside(..) => {
-                self.watch.begins_anew(node);
+                self.checker.reset_floor(node);
                 "set aside"
             }
             Note::DiskTakes(_) => "disk",
             Note::LogIsLower(_) => "log is lower",
         };
-        *self.played.notes.entry(kind).or_default() += 1;
+        *self.outcome.notes.entry(kind).or_default() += 1;
     }
 }
--- a/crates/fault-injection/src/configuration/laws.rs
+++ b/crates/fault-injection/src/configuration/invariants.rs
@@ -6,44 +6,44 @@
 use merlinfold_simulation::{Nanos, SECOND};
 
 /// A confirmed revision is in force at every reachable live node within this.
-pub const IN_FORCE_WITHIN: Nanos = 12 * SECOND;
+pub const IN_FORCE_TIMEOUT: Nanos = 12 * SECOND;
 /// Bytes a second of a node on the mean day.
 pub const MAX_BYTES_S: f64 = 3_000.0;
-const MAX_BREACHES: usize = 16;
+const MAX_VIOLATIONS: usize = 16;
 
 /// A law that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// Which.
-    pub law: &'static str,
+    pub invariant: &'static str,
     /// When.
     pub at: Nanos,
     /// How.
-    pub how: String,
+    pub detail: String,
 }
 
 /// All that was seen, as far as laws need it.
 #[derive(Debug, Default)]
-pub struct Watch {
-    agreed: BTreeMap<RevisionId, Announcement>,
+pub struct InvariantChecker {
+    committed: BTreeMap<RevisionId, Announcement>,
     digests: BTreeMap<RevisionId, Digest>,
     floors: BTreeMap<usize, RevisionId>,
     applied: BTreeSet<(usize, RevisionId)>,
     highest: BTreeMap<usize, RevisionId>,
     /// What was broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
 }
 
-impl Watch {
-    fn breach(&mut self, law: &'static str, at: Nanos, how: String) {
-        if self.breaches.len() < MAX_BREACHES {
-            self.breaches.push(Breach { law, at, how });
+impl InvariantChecker {
+    fn record_violation(&mut self, invariant: &'static str, at: Nanos, detail: String) {
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(Violation { invariant, at, detail });
         }
     }
 
     /// The log has agreed on this, or a disk came from where it had been.
-    pub fn agreed(&mut self, announcement: Announcement) {
-        self.agreed.insert(announcement.id, announcement);
+    pub fn announcement_committed(&mut self, announcement: Announcement) {
+        self.committed.insert(announcement.id, announcement);
     }
 
     /// A document is about to come into force.
@@ -53,23 +53,27 @@
         let digest = Digest::of(bytes);
         let first = *self.digests.entry(id).or_insert(digest);
         if first != digest {
-            self.breach(
+            self.record_violation(
                 "one digest",
                 now,
                 format!("n{node}: {id} is {digest:?} here and {first:?} elsewhere"),
             );
         }
-        match self.agreed.get(&id) {
-            None => self.breach("committed first", now, format!("n{node} applies {id}, which is not agreed")),
-            Some(agreed) if agreed.digest != digest => {
-                let how = format!("n{node}: {id} is {digest:?}, announced is {:?}", agreed.digest);
-                self.breach("whole and verified", now, how);
+        match self.committed.get(&id) {
+            None => self.record_violation(
+                "committed first",
+                now,
+                format!("n{node} applies {id}, which is not agreed"),
+            ),
+            Some(committed) if committed.digest != digest => {
+                let detail = format!("n{node}: {id} is {digest:?}, announced is {:?}", committed.digest);
+                self.record_violation("whole and verified", now, detail);
             }
             Some(_) => {}
         }
         if let Some(floor) = self.floors.get(&node).filter(|floor| **floor > id) {
-            let how = format!("n{node} applies {id} after {floor}");
-            self.breach("never lower", now, how);
+            let detail = format!("n{node} applies {id} after {floor}");
+            self.record_violation("never lower", now, detail);
         }
     }
 
@@ -82,7 +86,7 @@
     }
 
     /// A node has set its revision aside by name, or has started again with what its disk held, which may be older.
-    pub fn begins_anew(&mut self, node: usize) {
+    pub fn reset_floor(&mut self, node: usize) {
         self.floors.remove(&node);
     }
 
@@ -93,33 +97,33 @@
         for (node, known) in live {
             let Some(known) = known.filter(|known| known.number > 0) else { continue };
             if !self.applied.contains(&(*node, known)) {
-                let how = format!("n{observer} holds {known} in force at n{node}, which never was");
-                self.breach("silence is not applied", now, how);
+                let detail = format!("n{observer} holds {known} in force at n{node}, which never was");
+                self.record_violation("silence is not applied", now, detail);
             }
         }
         let Some(latest) = overview.latest else { return };
         let has = |node: &usize| self.applied.contains(&(*node, latest));
         let most = live.iter().filter(|(node, _)| has(node)).count() + usize::from(has(&observer));
         if overview.applied > most {
-            let how = format!("n{observer} counts {} at {latest}; {most} ever were", overview.applied);
-            self.breach("silence is not applied", now, how);
+            let detail = format!("n{observer} counts {} at {latest}; {most} ever were", overview.applied);
+            self.record_violation("silence is not applied", now, detail);
         }
     }
 
     /// A node that could be reached does not have in time what was confirmed.
-    pub fn late(&mut self, now: Nanos, node: usize, id: RevisionId, inside: &str) {
-        self.breach("in force within 12 s", now, format!("n{node} does not have {id}: {inside}"));
+    pub fn missing_after_timeout(&mut self, now: Nanos, node: usize, id: RevisionId, inside: &str) {
+        self.record_violation("in force within 12 s", now, format!("n{node} does not have {id}: {inside}"));
     }
 
     /// A confirmed revision's content was nowhere to be had at the end.
-    pub fn lost(&mut self, now: Nanos, id: RevisionId) {
-        self.breach("confirmed is kept", now, format!("{id} is in force nowhere"));
+    pub fn content_lost(&mut self, now: Nanos, id: RevisionId) {
+        self.record_violation("confirmed is kept", now, format!("{id} is in force nowhere"));
     }
 
     /// Bytes a second of a node on the mean day.
-    pub fn control(&mut self, now: Nanos, bytes_s: f64) {
+    pub fn check_bandwidth(&mut self, now: Nanos, bytes_s: f64) {
         if bytes_s > MAX_BYTES_S {
-            self.breach("3 KB/s", now, format!("{bytes_s:.0} bytes a second a node"));
+            self.record_violation("3 KB/s", now, format!("{bytes_s:.0} bytes a second a node"));
         }
     }
 }
--- a/crates/fault-injection/src/configuration/log.rs
+++ b/crates/fault-injection/src/configuration/log.rs
@@ -6,12 +6,12 @@
 #[derive(Clone, Debug)]
 pub struct ModelLog {
     /// All that is agreed, in order.
-    pub agreed: Vec<Announcement>,
+    pub committed: Vec<Announcement>,
     /// The epoch.
     pub epoch: u64,
-    places: Vec<u64>, // of each of them in the log
-    next_place: u64,
-    heard: Vec<usize>, // by node: how many of them
+    indexes: Vec<u64>, // of each of them in the log
+    next_index: u64,
+    known: Vec<usize>, // by node: how many of them
     fresh: Vec<bool>,
 }
 
@@ -19,47 +19,47 @@
     /// An empty one among so many nodes.
     pub fn new(nodes: usize) -> Self {
         ModelLog {
-            agreed: Vec::new(),
+            committed: Vec::new(),
             epoch: 1,
-            places: Vec::new(),
-            next_place: 0,
-            heard: vec![0; nodes],
+            indexes: Vec::new(),
+            next_index: 0,
+            known: vec![0; nodes],
             fresh: vec![false; nodes],
         }
     }
 
     /// Agrees on an announcement, where the register still stands there.
-    pub fn agree(&mut self, announcement: Announcement, expect: u64) -> Result<(), ProposalError> {
-        if self.agreed.last() == Some(&announcement) {
+    pub fn append(&mut self, announcement: Announcement, expect: u64) -> Result<(), ProposalError> {
+        if self.committed.last() == Some(&announcement) {
             return Ok(()); // proposed again
         }
-        if expect != self.value_revision(self.agreed.len()) {
+        if expect != self.value_revision(self.committed.len()) {
             return Err(ProposalError::Superseded);
         }
-        self.places.truncate(self.agreed.len());
-        self.next_place += 1;
-        self.places.push(self.next_place);
-        self.agreed.push(announcement);
+        self.indexes.truncate(self.committed.len());
+        self.next_index += 1;
+        self.indexes.push(self.next_index);
+        self.committed.push(announcement);
         Ok(())
     }
 
     /// A majority is lost at once: the log goes on under the next epoch, without its last so many announcements, which
     /// are told.
-    pub fn found_anew(&mut self, without: usize) -> Vec<Announcement> {
+    pub fn recreate_log(&mut self, without: usize) -> Vec<Announcement> {
         self.epoch += 1;
-        let kept = self.agreed.len().saturating_sub(without);
-        self.heard.iter_mut().for_each(|heard| *heard = kept.min(*heard));
-        self.agreed.split_off(kept)
+        let retained = self.committed.len().saturating_sub(without);
+        self.known.iter_mut().for_each(|known| *known = retained.min(*known));
+        self.committed.split_off(retained)
     }
 
     /// The register's revision of what a node has heard; 0: it has heard of nothing. A place is never used twice.
-    pub fn value_revision(&self, heard: usize) -> u64 {
-        heard.checked_sub(1).map_or(0, |place| self.places[place])
+    pub fn value_revision(&self, known: usize) -> u64 {
+        known.checked_sub(1).map_or(0, |position| self.indexes[position])
     }
 
     /// How many announcements a node has heard.
-    pub fn heard(&self, node: usize) -> usize {
-        self.heard[node]
+    pub fn known_count(&self, node: usize) -> usize {
+        self.known[node]
     }
 
     /// Whether what a node has heard counts as new.
@@ -68,13 +68,13 @@
     }
 
     /// A node has started again and knows nothing.
-    pub fn forget(&mut self, node: usize) {
-        (self.heard[node], self.fresh[node]) = (0, false);
+    pub fn reset_node(&mut self, node: usize) {
+        (self.known[node], self.fresh[node]) = (0, false);
     }
 
     /// A node has heard so many; `fresh` where a voter with a majority says so.
-    pub fn hear(&mut self, node: usize, count: usize, fresh: bool) {
-        self.heard[node] = count.min(self.agreed.len()).max(self.heard[node]);
+    pub fn update_known(&mut self, node: usize, count: usize, fresh: bool) {
+        self.known[node] = count.min(self.committed.len()).max(self.known[node]);
         self.fresh[node] = fresh;
     }
 }
--- a/crates/fault-injection/src/configuration/mod.rs
+++ b/crates/fault-injection/src/configuration/mod.rs
@@ -5,16 +5,16 @@
 //! for, compared before it is set, and heard of by other nodes after a drawn while or from other nodes.
 
 mod content;
-mod draw;
+mod generate;
 mod host;
-mod judging;
-mod laws;
+mod invariants;
 mod log;
 mod node;
-mod player;
+mod observing;
 mod publishing;
+mod simulator;
 
 pub use content::{compose, document, patch};
-pub use draw::{draw, Kind};
-pub use laws::Breach;
-pub use player::{play, Played, World};
+pub use generate::{generate, ScenarioKind};
+pub use invariants::Violation;
+pub use simulator::{simulate, ConfigurationScenario, RunOutcome};
--- a/crates/fault-injection/src/configuration/node.rs
+++ b/crates/fault-injection/src/configuration/node.rs
@@ -8,9 +8,9 @@
 use merlinfold_simulation::seed::mix;
 use merlinfold_simulation::Nanos;
 
-use super::player::World;
+use super::simulator::ConfigurationScenario;
 use crate::disk::ModelDisk;
-use crate::spec::Kept;
+use crate::scenario::DiskContents;
 
 /// The greatest format that nodes know; those of [`Node::is_old`] know one less.
 pub const MAX_FORMAT: u16 = 2;
@@ -32,17 +32,17 @@
     /// Since when it is down or paused.
     pub down_since: Option<Nanos>,
     /// Faults that it suffers from now.
-    pub troubles: usize,
+    pub active_faults: usize,
     /// When the last of them ended.
-    pub untroubled_since: Nanos,
+    pub healthy_since: Nanos,
     /// Bytes that earlier processes of it sent.
     pub sent: u64,
     /// Whether it is of a version that does not know the latest format.
-    pub is_old: bool,
+    pub lacks_latest_format: bool,
     /// Whether it damages the pieces that it sends.
-    pub is_corrupt: bool,
+    pub corrupts_pieces: bool,
     /// A number of which it refuses the revision.
-    pub refuses: Option<u64>,
+    pub refused_number: Option<u64>,
 }
 
 impl Node {
@@ -56,12 +56,12 @@
             scheduled: None,
             disk: ModelDisk::new(seed, number as u64),
             down_since: None,
-            troubles: 0,
-            untroubled_since: 0,
+            active_faults: 0,
+            healthy_since: 0,
             sent: 0,
-            is_old: false,
-            is_corrupt: false,
-            refuses: None,
+            lacks_latest_format: false,
+            corrupts_pieces: false,
+            refused_number: None,
         }
     }
 
@@ -71,8 +71,8 @@
     }
 
     /// Whether nothing has been wrong with it since then.
-    pub fn is_untroubled_since(&self, since: Nanos) -> bool {
-        self.is_up() && self.troubles == 0 && self.untroubled_since <= since
+    pub fn is_healthy_since(&self, since: Nanos) -> bool {
+        self.is_up() && self.active_faults == 0 && self.healthy_since <= since
     }
 
     /// The revision in force at it.
@@ -83,16 +83,18 @@
 
     /// Starts a process of it with what the disk holds, and says what it wants done and which revision it found.
     pub fn start(
-        &mut self, world: &World, number: usize, kept: Kept, defect: Option<Defect>, now: Nanos,
+        &mut self, scenario: &ConfigurationScenario, number: usize, contents: DiskContents,
+        defect: Option<Defect>, now: Nanos,
     ) -> Vec<Action> {
         self.starts += 1;
         (self.paused, self.down_since, self.scheduled) = (false, None, None);
-        self.disk.start(if world.lasting { kept } else { Kept::Empty }, None);
-        let saved = if world.lasting { Saved::load(&self.disk, &self.name).0 } else { Saved::default() };
-        let id = Identity { cluster: 7, name: self.name.clone(), zone: world.trial.zone(number).into() };
-        let max_format = MAX_FORMAT - u16::from(self.is_old);
-        let tuning = Tuning { max_format, disk: world.lasting, defect, ..Tuning::default() };
-        let seed = mix(world.trial.seed ^ mix(number as u64 + (self.starts << 20)));
+        self.disk.start(if scenario.durable_disks { contents } else { DiskContents::Empty }, None);
+        let saved =
+            if scenario.durable_disks { Saved::load(&self.disk, &self.name).0 } else { Saved::default() };
+        let id = Identity { cluster: 7, name: self.name.clone(), zone: scenario.base.zone(number).into() };
+        let max_format = MAX_FORMAT - u16::from(self.lacks_latest_format);
+        let tuning = Tuning { max_format, disk: scenario.durable_disks, defect, ..Tuning::default() };
+        let seed = mix(scenario.base.seed ^ mix(number as u64 + (self.starts << 20)));
         let mut out = Vec::new();
         self.machine = Some(Distribution::new(id, tuning, saved, seed, now, &mut out));
         out
@@ -121,12 +123,12 @@
 }
 
 /// A node as the membership tells of it.
-pub fn peer(world: &World, node: &Node, number: usize, alive: bool) -> Peer {
+pub fn peer(scenario: &ConfigurationScenario, node: &Node, number: usize, alive: bool) -> Peer {
     Peer {
         name: node.name.clone(),
         address: address(number),
-        zone: world.trial.zone(number).into(),
+        zone: scenario.base.zone(number).into(),
         alive,
-        votes: number < world.voters,
+        votes: number < scenario.voters,
     }
 }
--- a/crates/fault-injection/src/configuration/judging.rs
+++ b/crates/fault-injection/src/configuration/observing.rs
@@ -5,22 +5,22 @@
 use rand::Rng;
 
 use super::node::{number, Node};
-use super::player::{Ev, Played, Player};
+use super::simulator::{QueuedEvent, RunOutcome, Simulator};
 
-const LOOK_EVERY: Nanos = 2 * SECOND; // at what some observers count
+const OBSERVATION_INTERVAL: Nanos = 2 * SECOND; // at what some observers count
 const OBSERVERS: usize = 3;
-const BYTES_OF_OTHERS_S: f64 = 1_102.0; // membership and log, measured at 300 and 100 nodes
+const OTHER_TRAFFIC_BYTES_S: f64 = 1_102.0; // membership and log, measured at 300 and 100 nodes
 
-impl Player<'_> {
+impl Simulator<'_> {
     /// A revision came into force: how long after its confirmation, where nothing was wrong with the node since.
-    pub fn time(&mut self, node: usize, id: RevisionId) {
+    pub fn record_apply_latency(&mut self, node: usize, id: RevisionId) {
         let before = self.nodes[node].in_force();
         let newly = self.publishing.confirmed.range(..=id).filter(|(earlier, _)| Some(**earlier) > before);
         let newly: Vec<(RevisionId, Nanos)> = newly.map(|(id, at)| (*id, *at)).collect();
         for (id, at) in newly {
-            if self.nodes[node].is_untroubled_since(at) {
+            if self.nodes[node].is_healthy_since(at) {
                 let took = self.now - at;
-                self.played.times.push(took);
+                self.outcome.apply_latencies.push(took);
                 let slowest = self.slowest.entry(id).or_default();
                 *slowest = took.max(*slowest);
             }
@@ -28,7 +28,7 @@
     }
 
     /// What some observers count.
-    pub fn look(&mut self) {
+    pub fn observe(&mut self) {
         for _ in 0..OBSERVERS {
             let observer = self.stream.random_range(0..self.nodes.len());
             let Some(machine) = &self.nodes[observer].machine else { continue };
@@ -37,62 +37,62 @@
             let live: Vec<_> =
                 others.map(|peer| (number(peer.address), machine.known_at(self.now, &peer.name))).collect();
             if self.now > 60 * SECOND {
-                self.looks.0 += overview.live;
-                self.looks.1 += overview.unknown.count;
+                self.observed_members.0 += overview.live;
+                self.observed_members.1 += overview.unknown.count;
             }
-            self.watch.overview(self.now, observer, &overview, &live);
+            self.checker.overview(self.now, observer, &overview, &live);
         }
-        self.push(self.now + LOOK_EVERY, Ev::Look);
+        self.push(self.now + OBSERVATION_INTERVAL, QueuedEvent::Observe);
     }
 
     /// Whether what was confirmed by then is in force at a node, or at all, where nothing was wrong since.
     pub fn check(&mut self, node: Option<usize>, since: Nanos) {
         let latest =
             self.publishing.confirmed.iter().filter(|(_, at)| **at <= since).map(|(id, _)| *id).max();
-        let voters = self.nodes[..self.world.voters].iter();
-        let standing = voters.filter(|voter| voter.is_untroubled_since(since)).count();
-        let Some(latest) = latest.filter(|_| 2 * standing > self.world.voters) else { return };
+        let voters = self.nodes[..self.scenario.voters].iter();
+        let standing = voters.filter(|voter| voter.is_healthy_since(since)).count();
+        let Some(latest) = latest.filter(|_| 2 * standing > self.scenario.voters) else { return };
         if self.publishing.is_lost(latest) {
             return;
         }
         let nodes = node.map_or(0..self.nodes.len(), |node| node..node + 1);
         for node in nodes {
-            let of = &self.nodes[node];
-            if !of.is_untroubled_since(since) || of.in_force() >= Some(latest) {
+            let node_state = &self.nodes[node];
+            if !node_state.is_healthy_since(since) || node_state.in_force() >= Some(latest) {
                 continue;
             }
-            let Some(machine) = &of.machine else { continue };
+            let Some(machine) = &node_state.machine else { continue };
             let refused = machine.overview(self.now).refused_here;
             if refused.is_some_and(|(id, _)| id >= latest) {
                 continue;
             }
             let inside = machine.inside();
-            self.watch.late(self.now, node, latest, &inside);
+            self.checker.missing_after_timeout(self.now, node, latest, &inside);
         }
     }
 
-    pub fn finish(mut self, end: Nanos) -> Played {
+    pub fn finish(mut self, end: Nanos) -> RunOutcome {
         let now = self.now;
         let latest = self.publishing.confirmed.keys().max().copied();
         let in_force = self.nodes.iter().filter_map(Node::in_force).max();
         if let Some(latest) = latest.filter(|latest| !self.publishing.is_lost(*latest)) {
             if in_force < Some(latest) {
-                self.watch.lost(now, latest);
+                self.checker.content_lost(now, latest);
             }
         }
         let seconds = end as f64 / SECOND as f64;
         let sent = |node: &Node| node.sent + node.machine.as_ref().map_or(0, Distribution::sent_bytes);
         let all: u64 = self.nodes.iter().map(sent).sum();
-        self.played.bytes_s = all as f64 / self.nodes.len() as f64 / seconds;
-        let voters = self.nodes[..self.world.voters].iter().map(sent).max().unwrap_or_default();
-        self.played.voter_bytes_s = voters as f64 / seconds;
-        if self.world.kind.is_mean_day() {
-            self.watch.control(now, self.played.bytes_s + BYTES_OF_OTHERS_S);
+        self.outcome.bytes_s = all as f64 / self.nodes.len() as f64 / seconds;
+        let voters = self.nodes[..self.scenario.voters].iter().map(sent).max().unwrap_or_default();
+        self.outcome.voter_bytes_s = voters as f64 / seconds;
+        if self.scenario.kind.is_mean_day() {
+            self.checker.check_bandwidth(now, self.outcome.bytes_s + OTHER_TRAFFIC_BYTES_S);
         }
-        self.played.unknown = self.looks.1 as f64 / self.looks.0.max(1) as f64;
-        self.played.confirmed = self.publishing.confirmed.len();
-        self.played.to_all = self.slowest.into_values().collect();
-        self.played.breaches = self.watch.breaches;
-        self.played
+        self.outcome.unknown_share = self.observed_members.1 as f64 / self.observed_members.0.max(1) as f64;
+        self.outcome.confirmed = self.publishing.confirmed.len();
+        self.outcome.slowest_apply_latencies = self.slowest.into_values().collect();
+        self.outcome.violations = self.checker.violations;
+        self.outcome
     }
 }
--- a/crates/fault-injection/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -9,15 +9,15 @@
 use merlinfold_store::Disk;
 use rand::Rng;
 
-use crate::spec::{DiskFault, Kept, SLOW};
+use crate::scenario::{DiskContents, DiskFault, MAX_SLOW_STEP};
 
 type Content = Vec<u8>;
 
 #[derive(Clone, Debug, Default)]
 struct State {
-    seen: BTreeMap<String, (Content, bool)>, // as a running process reads it, and whether the content is durable
-    durable: BTreeMap<String, Content>,      // as a crash leaves it
-    before: BTreeMap<String, Content>,       // the same at the start before
+    visible: BTreeMap<String, (Content, bool)>, // as a running process reads it, and whether the content is durable
+    durable: BTreeMap<String, Content>,         // as a crash leaves it
+    before: BTreeMap<String, Content>,          // the same at the start before
     at_start: BTreeMap<String, Content>,
     fault: Option<DiskFault>,
 }
@@ -37,14 +37,16 @@
     }
 
     /// From now on it does this wrong, or nothing.
-    pub fn set(&self, fault: Option<DiskFault>) {
+    pub fn set_fault(&self, fault: Option<DiskFault>) {
         self.state.borrow_mut().fault = fault;
     }
 
     /// How long so many steps take.
-    pub fn takes(&self, steps: usize) -> Nanos {
+    pub fn operation_delay(&self, steps: usize) -> Nanos {
         match self.state.borrow().fault {
-            Some(DiskFault::Slow) => (0..steps).map(|_| self.stream.borrow_mut().random_range(0..SLOW)).sum(),
+            Some(DiskFault::Slow) => {
+                (0..steps).map(|_| self.stream.borrow_mut().random_range(0..MAX_SLOW_STEP)).sum()
+            }
             _ => 0,
         }
     }
@@ -54,7 +56,7 @@
         let mut state = self.state.borrow_mut();
         let mut stream = self.stream.borrow_mut();
         let mut left = state.durable.clone();
-        for (name, (content, synced)) in &state.seen {
+        for (name, (content, synced)) in &state.visible {
             if state.durable.get(name) == Some(content) {
                 continue;
             }
@@ -64,31 +66,34 @@
                 left.insert(name.clone(), content[..whole].to_vec());
             }
         }
-        state.seen = left.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
+        state.visible = left.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
         state.durable = left;
     }
 
     /// What the next start finds. `other` is the disk of another node.
-    pub fn start(&self, kept: Kept, other: Option<&ModelDisk>) {
+    pub fn start(&self, contents: DiskContents, other: Option<&ModelDisk>) {
         let mut state = self.state.borrow_mut();
         let mut stream = self.stream.borrow_mut();
-        let mut found = match kept {
-            Kept::Empty => BTreeMap::new(),
-            Kept::Yesterday => state.before.clone(),
-            Kept::Foreign => other.map(|disk| disk.state.borrow().durable.clone()).unwrap_or_default(),
-            Kept::Kept | Kept::Torn | Kept::Flipped => state.durable.clone(),
+        let mut stored = match contents {
+            DiskContents::Empty => BTreeMap::new(),
+            DiskContents::Yesterday => state.before.clone(),
+            DiskContents::Foreign => {
+                other.map(|disk| disk.state.borrow().durable.clone()).unwrap_or_default()
+            }
+            DiskContents::Kept | DiskContents::Torn | DiskContents::Flipped => state.durable.clone(),
         };
-        for content in found.values_mut().filter(|content| !content.is_empty()) {
+        for content in stored.values_mut().filter(|content| !content.is_empty()) {
             let at = stream.random_range(0..content.len());
-            match kept {
-                Kept::Torn => content.truncate(at),
-                Kept::Flipped => content[at] ^= 1 << stream.random_range(0..8),
+            match contents {
+                DiskContents::Torn => content.truncate(at),
+                DiskContents::Flipped => content[at] ^= 1 << stream.random_range(0..8),
                 _ => {}
             }
         }
-        state.before = std::mem::replace(&mut state.at_start, found.clone());
-        state.seen = found.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
-        state.durable = found;
+        state.before = std::mem::replace(&mut state.at_start, stored.clone());
+        state.visible =
+            stored.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
+        state.durable = stored;
     }
 }
 
@@ -98,7 +103,7 @@
         match state.fault {
             Some(DiskFault::Gone) => Err(ErrorKind::NotADirectory.into()),
             Some(DiskFault::ReadFails) => Err(io::Error::other("the device reports an error")),
-            _ => Ok(state.seen.get(name).map(|(content, _)| content.clone())),
+            _ => Ok(state.visible.get(name).map(|(content, _)| content.clone())),
         }
     }
 
@@ -107,12 +112,12 @@
         match state.fault {
             Some(DiskFault::Gone) => Err(ErrorKind::NotADirectory.into()),
             Some(fault @ (DiskFault::Full | DiskFault::Limited)) => {
-                state.seen.insert(name.to_owned(), (Vec::new(), false));
+                state.visible.insert(name.to_owned(), (Vec::new(), false));
                 let limited = fault == DiskFault::Limited;
                 Err(if limited { ErrorKind::FileTooLarge } else { ErrorKind::StorageFull }.into())
             }
             _ => {
-                state.seen.insert(name.to_owned(), (bytes.to_vec(), false));
+                state.visible.insert(name.to_owned(), (bytes.to_vec(), false));
                 Ok(())
             }
         }
@@ -126,7 +131,7 @@
             Some(DiskFault::SyncLies) => return Ok(()),
             _ => {}
         }
-        if let Some((_, synced)) = state.seen.get_mut(name) {
+        if let Some((_, synced)) = state.visible.get_mut(name) {
             *synced = true;
         }
         Ok(())
@@ -137,8 +142,8 @@
         if state.fault == Some(DiskFault::Gone) {
             return Err(ErrorKind::NotADirectory.into());
         }
-        let content = state.seen.remove(from).ok_or(ErrorKind::NotFound)?;
-        state.seen.insert(to.to_owned(), content);
+        let content = state.visible.remove(from).ok_or(ErrorKind::NotFound)?;
+        state.visible.insert(to.to_owned(), content);
         Ok(())
     }
 
@@ -152,7 +157,7 @@
         }
         let state = &mut *state;
         let old = std::mem::take(&mut state.durable);
-        for (name, (content, synced)) in &state.seen {
+        for (name, (content, synced)) in &state.visible {
             // A name is durable now; its content only if it was synced.
             let content = if *synced { content.clone() } else { old.get(name).cloned().unwrap_or_default() };
             state.durable.insert(name.clone(), content);
--- a/crates/fault-injection/src/doubles.rs
+++ b/crates/fault-injection/src/faulty_node.rs
@@ -5,7 +5,7 @@
 
 /// What a double does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Double {
+pub enum FaultyNode {
     /// Never suspects anybody.
     Trusting,
     /// Does not contradict what is told of it.
@@ -16,35 +16,35 @@
     Unsynced,
 }
 
-impl Double {
+impl FaultyNode {
     /// Every one, and the law that has to catch it.
-    pub const ALL: [(Double, &'static str); 4] = [
-        (Double::Trusting, "detection"),
-        (Double::Silent, "no false death"),
-        (Double::Merging, "no strangers"),
-        (Double::Unsynced, "starts only rise"),
+    pub const ALL: [(FaultyNode, &'static str); 4] = [
+        (FaultyNode::Trusting, "detection"),
+        (FaultyNode::Silent, "no false death"),
+        (FaultyNode::Merging, "no strangers"),
+        (FaultyNode::Unsynced, "starts only rise"),
     ];
 
     /// The times it works by.
     pub fn tuning(self, tuning: Tuning) -> Tuning {
         match self {
-            Double::Trusting => Tuning { answer_within: u64::MAX / 64, ..tuning },
+            FaultyNode::Trusting => Tuning { answer_within: u64::MAX / 64, ..tuning },
             _ => tuning,
         }
     }
 
     /// What it hears of a datagram.
-    pub fn hears(self, me: &Name, own: u64, clusters: &[u64], bytes: Vec<u8>) -> Vec<u8> {
+    pub fn filter_datagram(self, me: &Name, own: u64, clusters: &[u64], bytes: Vec<u8>) -> Vec<u8> {
         let Some((mut envelope, records)) = clusters.iter().find_map(|&cluster| read(cluster, &bytes).ok())
         else {
             return bytes;
         };
         let keeps = |record: &Record| match self {
-            Double::Trusting => !matches!(record.status, Status::Suspect { .. } | Status::Dead),
-            Double::Silent => record.name != *me,
-            Double::Merging | Double::Unsynced => true,
+            FaultyNode::Trusting => !matches!(record.status, Status::Suspect { .. } | Status::Dead),
+            FaultyNode::Silent => record.name != *me,
+            FaultyNode::Merging | FaultyNode::Unsynced => true,
         };
-        if self == Double::Merging {
+        if self == FaultyNode::Merging {
             envelope.cluster = own;
         }
         let mut writer = Writer::new(&envelope);
--- a/crates/fault-injection/src/html.rs
+++ b/crates/fault-injection/src/html.rs
@@ -7,7 +7,7 @@
 const WIDTH: f64 = 1_100.0;
 const ROW: f64 = 14.0;
 const LEFT: f64 = 150.0;
-const ROWS_MOST: usize = 100; // nodes that are drawn
+const MAX_NODE_ROWS: usize = 100; // nodes that are drawn
 
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
@@ -15,19 +15,20 @@
 
 /// The page; it needs nothing else.
 pub fn page(report: &Report) -> String {
-    let trial = &report.trial;
-    let x = |at: f64| LEFT + (WIDTH - LEFT) * (at / trial.seconds).clamp(0.0, 1.0);
-    let nodes = trial.fleet.nodes.min(ROWS_MOST);
-    let height = ROW * (trial.faults.len() + nodes + 8) as f64;
+    let scenario = &report.scenario;
+    let x = |at: f64| LEFT + (WIDTH - LEFT) * (at / scenario.seconds).clamp(0.0, 1.0);
+    let nodes = scenario.fleet.nodes.min(MAX_NODE_ROWS);
+    let height = ROW * (scenario.faults.len() + nodes + 8) as f64;
     let mut svg =
         format!("<svg width=\"{WIDTH}\" height=\"{height}\" font-family=\"sans-serif\" font-size=\"10\">\n");
     let mut y = ROW;
     let mut put = |line: String| {
         let _ = writeln!(svg, "{line}");
     };
-    for fault in &trial.faults {
-        let (from, to) = (x(fault.at), x(fault.lasts.map_or(trial.seconds, |lasts| fault.at + lasts)));
-        let what = serde_json::to_string(&fault.what).unwrap_or_default();
+    for fault in &scenario.faults {
+        let (from, to) =
+            (x(fault.at), x(fault.duration.map_or(scenario.seconds, |duration| fault.at + duration)));
+        let what = serde_json::to_string(&fault.kind).unwrap_or_default();
         put(format!(
             "<rect x=\"{from:.1}\" y=\"{y:.1}\" width=\"{:.1}\" height=\"{:.1}\" fill=\"#e8a0a0\"><title>{}</title></rect>\
              <text x=\"2\" y=\"{:.1}\">{}</text>",
@@ -44,11 +45,11 @@
         put(format!(
             "<text x=\"2\" y=\"{:.1}\">n{node} ({})</text>",
             y + ROW - 5.0,
-            escape(&trial.machine(node))
+            escape(&scenario.machine(node))
         ));
-        for (moment, next) in report.moments.iter().zip(report.moments.iter().skip(1)) {
+        for (moment, next) in report.samples.iter().zip(report.samples.iter().skip(1)) {
             let Some(alive) = moment.alive.get(node).copied().flatten() else { continue };
-            let share = alive as f64 / trial.fleet.nodes as f64;
+            let share = alive as f64 / scenario.fleet.nodes as f64;
             let (red, green) = ((200.0 * (1.0 - share)) as u8 + 40, (160.0 * share) as u8 + 60);
             put(format!(
                 "<rect x=\"{:.1}\" y=\"{y:.1}\" width=\"{:.1}\" height=\"{:.1}\" fill=\"rgb({red},{green},90)\"><title>sees {alive} at {} s</title></rect>",
@@ -61,7 +62,7 @@
         y += ROW;
     }
     y += ROW;
-    for moment in &report.moments {
+    for moment in &report.samples {
         let Some(served) = moment.served else { continue };
         put(format!(
             "<rect x=\"{:.1}\" y=\"{:.1}\" width=\"3\" height=\"{:.1}\" fill=\"#4060c0\"><title>served {served:.3} at {} s</title></rect>",
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -9,26 +9,26 @@
 //! time: that is what the other clock is for.
 //!
 //! ```
-//! let trial = merlinfold_fault_injection::catalogue::find("machine-drops").unwrap();
-//! let first = merlinfold_fault_injection::virtual_time::play("machine-drops", &trial, None).unwrap();
-//! let again = merlinfold_fault_injection::virtual_time::play("machine-drops", &trial, None).unwrap();
-//! assert_eq!(first.breaches, []);
+//! let scenario = merlinfold_fault_injection::catalogue::find("machine-drops").unwrap();
+//! let first = merlinfold_fault_injection::virtual_time::simulate("machine-drops", &scenario, None).unwrap();
+//! let again = merlinfold_fault_injection::virtual_time::simulate("machine-drops", &scenario, None).unwrap();
+//! assert_eq!(first.violations, []);
 //! assert_eq!(first.json(), again.json());
 //! ```
 
-pub mod agreed;
 pub mod catalogue;
 pub mod configuration;
 pub mod disk;
-pub mod doubles;
+pub mod faulty_node;
 pub mod html;
-pub mod laws;
+pub mod invariants;
 pub mod link;
+pub mod replicated_log;
 pub mod report;
 pub mod scale;
+pub mod scenario;
 pub mod schedule;
 pub mod shrink;
-pub mod spec;
 pub mod virtual_time;
 
-pub use spec::Trial;
+pub use scenario::Scenario;
--- a/crates/fault-injection/src/agreed/draw.rs
+++ b/crates/fault-injection/src/replicated_log/generate.rs
@@ -3,67 +3,67 @@
 use merlinfold_simulation::seed::Seed;
 use rand::Rng;
 
-use super::player::World;
-use crate::spec::{DiskFault, Fault, Fleet, Kept, Network, Rules, Trial, What};
+use super::simulator::LogScenario;
+use crate::scenario::{DiskContents, DiskFault, Fault, FaultKind, Fleet, Network, Rules, Scenario};
 
-const FAULTS_END: f64 = 22.0;
+const FAULTS_END_S: f64 = 22.0;
 
 /// The world of this seed. Where `lasting`, nodes have disks, and these fail too.
-pub fn draw(seed: u64, nodes: usize, lasting: bool) -> World {
+pub fn generate(seed: u64, nodes: usize, durable_disks: bool) -> LogScenario {
     let mut stream = Seed(seed).stream("agreed", nodes as u64);
     let voters = if nodes >= 5 && stream.random::<bool>() { 5 } else { 3 };
     let candidates = nodes.min(voters + stream.random_range(0..3));
     let zones = ["a", "b", "c"][..stream.random_range(1..=3)].iter().map(|zone| (*zone).to_owned()).collect();
     let mut faults = Vec::new();
     for _ in 0..stream.random_range(1..=5) {
-        let at = stream.random_range(3.0..FAULTS_END - 8.0);
-        let lasts = stream.random_range(0.3..8.0);
+        let at = stream.random_range(3.0..FAULTS_END_S - 8.0);
+        let duration = stream.random_range(0.3..8.0);
         // Most of what matters happens at candidates, which come first.
         let among = if stream.random::<bool>() { candidates } else { nodes };
         let who = format!("node:{}", stream.random_range(0..among));
         let share = format!("share:{:.2}", stream.random_range(0.1..0.9));
         let side = if stream.random::<bool>() { share } else { who.clone() };
         let disk = match stream.random_range(0..6) {
-            0 => Kept::Empty,
-            1 => Kept::Flipped,
-            2 => Kept::Torn,
-            _ => Kept::Kept,
+            0 => DiskContents::Empty,
+            1 => DiskContents::Flipped,
+            2 => DiskContents::Torn,
+            _ => DiskContents::Kept,
         };
-        let what = match stream.random_range(0..8) {
-            0 | 1 => What::Kill { who, disk },
-            2 => What::Roll { who: side, every: stream.random_range(0.3..1.5) },
-            3 => What::Pause { who },
-            4 => What::Cut { from: side, to: "rest".to_owned(), one_way: stream.random::<bool>() },
-            5 => What::Thin {
+        let kind = match stream.random_range(0..8) {
+            0 | 1 => FaultKind::Kill { who, disk },
+            2 => FaultKind::Roll { who: side, every: stream.random_range(0.3..1.5) },
+            3 => FaultKind::Pause { who },
+            4 => FaultKind::Cut { from: side, to: "rest".to_owned(), one_way: stream.random::<bool>() },
+            5 => FaultKind::Thin {
                 from: "all".to_owned(),
                 to: "all".to_owned(),
                 loss: stream.random_range(0.05..0.5),
             },
-            6 => What::Delay {
+            6 => FaultKind::Delay {
                 from: side,
                 to: "rest".to_owned(),
                 ms: stream.random_range(1.0..300.0),
                 jitter_ms: 100.0,
             },
-            _ if lasting => What::Disk {
+            _ if durable_disks => FaultKind::Disk {
                 who: side,
                 does: [DiskFault::Full, DiskFault::Gone, DiskFault::SyncFails, DiskFault::Slow]
                     [stream.random_range(0..4)],
             },
-            _ => What::Duplicate { from: "all".to_owned(), to: "all".to_owned(), share: 0.3 },
+            _ => FaultKind::Duplicate { from: "all".to_owned(), to: "all".to_owned(), share: 0.3 },
         };
-        faults.push(Fault { at, lasts: Some(lasts), what });
+        faults.push(Fault { at, duration: Some(duration), kind });
     }
-    let trial = Trial {
+    let base = Scenario {
         question: "Does the log keep its laws?".to_owned(),
         seed,
         seconds: 48.0,
-        by_hand: false,
+        manual_only: false,
         fleet: Fleet { nodes, zones, machines: 2, seeds: 3, servers: 1, strangers: 0 },
         network: Network { loss: if stream.random::<bool>() { 0.0 } else { 0.05 }, ..Network::default() },
         log: None,
         faults,
         rules: Rules::default(),
     };
-    World { trial, candidates, voters, lasting, goes_on: false }
+    LogScenario { base, candidates, voters, durable_disks, requires_recovery: false }
 }
--- a/crates/fault-injection/src/agreed/laws.rs
+++ b/crates/fault-injection/src/replicated_log/invariants.rs
@@ -9,20 +9,20 @@
 
 /// A law that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// Which.
-    pub law: &'static str,
+    pub invariant: &'static str,
     /// When.
     pub at: Nanos,
     /// How.
-    pub how: String,
+    pub detail: String,
 }
 
 /// All that was seen, as far as laws need it.
 #[derive(Default)]
-pub struct Watch {
+pub struct InvariantChecker {
     agreed: BTreeMap<(Group, u64), Entry>,
-    founded: BTreeMap<Group, u64>, // the place at which each group was founded
+    state_replaced_at: BTreeMap<Group, u64>, // the place at which each group was founded
     outcomes: BTreeMap<(Group, CommandId), Outcome>,
     /// Confirmed to somebody: in which log, and with what.
     pub confirmed: BTreeMap<CommandId, (Group, Outcome)>,
@@ -31,35 +31,35 @@
     decides: Option<Group>, // the last to do so, and those before it
     past: BTreeSet<Group>,
     /// What was broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
 }
 
-const BREACHES_MOST: usize = 16;
+const MAX_VIOLATIONS: usize = 16;
 
-impl Watch {
-    fn breach(&mut self, law: &'static str, at: Nanos, how: String) {
-        if self.breaches.len() < BREACHES_MOST {
-            self.breaches.push(Breach { law, at, how });
+impl InvariantChecker {
+    fn record_violation(&mut self, invariant: &'static str, at: Nanos, detail: String) {
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(Violation { invariant, at, detail });
         }
     }
 
     /// A node has come to hold this log at this place by other ways than entries.
-    pub fn jumped(&mut self, group: Group, index: u64) {
-        self.founded.entry(group).and_modify(|at| *at = index.min(*at)).or_insert(index);
+    pub fn state_replaced(&mut self, group: Group, index: u64) {
+        self.state_replaced_at.entry(group).and_modify(|at| *at = index.min(*at)).or_insert(index);
     }
 
     /// A node has applied an entry.
     pub fn applied(&mut self, now: Nanos, node: usize, group: Group, entry: &Entry) {
         match self.agreed.get(&(group, entry.index)) {
             Some(other) if other != entry => {
-                let how = format!("n{node} applies {entry:?} where {other:?} was applied, in {group:?}");
-                self.breach("one order", now, how);
+                let detail = format!("n{node} applies {entry:?} where {other:?} was applied, in {group:?}");
+                self.record_violation("one order", now, detail);
             }
             Some(_) => {}
             None => {
                 if self.past.contains(&group) {
-                    let how = format!("n{node}: {group:?} decides {entry:?} after {:?} has", self.decides);
-                    self.breach("one group decides", now, how);
+                    let detail = format!("n{node}: {group:?} decides {entry:?} after {:?} has", self.decides);
+                    self.record_violation("one group decides", now, detail);
                 }
                 self.past.extend(self.decides.filter(|before| *before != group));
                 self.decides = Some(group);
@@ -69,10 +69,12 @@
     }
 
     /// What the state of a node says of an id that it has just applied.
-    pub fn effect(&mut self, now: Nanos, node: usize, group: Group, id: CommandId, outcome: &Outcome) {
+    pub fn outcome_applied(
+        &mut self, now: Nanos, node: usize, group: Group, id: CommandId, outcome: &Outcome,
+    ) {
         let first = self.outcomes.entry((group, id)).or_insert_with(|| outcome.clone()).clone();
         if first != *outcome {
-            self.breach("once", now, format!("n{node}: {id} is {outcome:?} and was {first:?}"));
+            self.record_violation("once", now, format!("n{node}: {id} is {outcome:?} and was {first:?}"));
         }
     }
 
@@ -85,8 +87,8 @@
             // What an earlier group has agreed may be confirmed from the state that a later one took over.
             let earlier = self.agreed.iter().any(|((_, at), entry)| *at == index && is(&entry));
             if there.filter(is).is_none() && !earlier {
-                let how = format!("n{node}: {id} is confirmed at {index}, where {there:?} is agreed");
-                self.breach("confirmed is agreed", now, how);
+                let detail = format!("n{node}: {id} is confirmed at {index}, where {there:?} is agreed");
+                self.record_violation("confirmed is agreed", now, detail);
             }
         }
         self.confirmed.insert(id, (group, outcome));
@@ -96,51 +98,52 @@
     pub fn voted(&mut self, now: Nanos, node: usize, (voter, term, vote): (u64, u64, u64)) {
         let first = *self.votes.entry((voter, term)).or_insert(vote);
         if first != vote {
-            let how = format!("n{node}: {voter} votes for {vote} in term {term}, and has voted for {first}");
-            self.breach("one vote", now, how);
+            let detail =
+                format!("n{node}: {voter} votes for {vote} in term {term}, and has voted for {first}");
+            self.record_violation("one vote", now, detail);
         }
     }
 
     /// Who leads.
-    pub fn leads(&mut self, now: Nanos, node: usize, group: Group, term: u64) {
+    pub fn leader_elected(&mut self, now: Nanos, node: usize, group: Group, term: u64) {
         let first = *self.leaders.entry((group, term)).or_insert(node);
         if first != node {
-            self.breach("one leader", now, format!("n{node} leads term {term} as n{first} does"));
+            self.record_violation("one leader", now, format!("n{node} leads term {term} as n{first} does"));
         }
     }
 
     /// At the end: what was confirmed is in every state that goes as far.
-    pub fn kept(&mut self, now: Nanos, node: usize, group: Group, state: &AppliedState) {
+    pub fn check_confirmed_retained(&mut self, now: Nanos, node: usize, group: Group, state: &AppliedState) {
         let lost: Vec<CommandId> = self
             .confirmed
             .iter()
-            .filter(|(_, (of, outcome))| {
-                *of == group && matches!(outcome, Outcome::Done(index) if *index <= state.index)
+            .filter(|(_, (node_state, outcome))| {
+                *node_state == group && matches!(outcome, Outcome::Done(index) if *index <= state.index)
             })
             .filter(|(id, (_, outcome))| **id != 0 && state.outcome(**id) != Some(outcome))
             .map(|(id, _)| *id)
             .collect();
         for id in lost {
-            let how =
+            let detail =
                 format!("n{node} at {}: {:?} is {:?}", state.index, self.confirmed[&id], state.outcome(id));
-            self.breach("confirmed is kept", now, how);
+            self.record_violation("confirmed is kept", now, detail);
         }
     }
 
     /// At the end of all faults and some time.
-    pub fn expect(&mut self, now: Nanos, holds: bool, how: impl FnOnce() -> String) {
+    pub fn check_recovered(&mut self, now: Nanos, holds: bool, detail: impl FnOnce() -> String) {
         if !holds {
-            self.breach("goes on", now, how());
+            self.record_violation("goes on", now, detail());
         }
     }
 
     /// Places agreed on, over all groups.
-    pub fn places(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.agreed.len()
     }
 
     /// Groups that have decided anything.
-    pub fn groups(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         let mut groups: Vec<Group> = self.agreed.keys().map(|(group, _)| *group).collect();
         groups.dedup();
         groups.len()
--- a/crates/fault-injection/src/agreed/player.rs
+++ b/crates/fault-injection/src/replicated_log/simulator.rs
@@ -13,45 +13,45 @@
 use merlinfold_simulation::{Nanos, MS, SECOND};
 use rand::Rng;
 
-use super::laws::{Breach, Watch};
+use super::invariants::{InvariantChecker, Violation};
 use crate::disk::ModelDisk;
 use crate::link::Links;
-use crate::schedule::{nanos, steps, Do, Step};
-use crate::spec::{Kept, Trial};
+use crate::scenario::{DiskContents, Scenario};
+use crate::schedule::{nanos, steps, Step, StepAction};
 
-const VIEW_EVERY: Nanos = 500 * MS;
-const VIEW_LATE: Nanos = 1_200 * MS; // until a death is known, as the membership takes at 300 nodes
-const PROPOSE_EVERY: Nanos = 250 * MS;
-const WRITE_STEPS: usize = 4; // of a disk, a file
-const LEAVES_IN: Nanos = 300 * MS;
-const SETTLE: Nanos = 20 * SECOND; // from the last fault on, until a command must be agreed everywhere
+const VIEW_INTERVAL: Nanos = 500 * MS;
+const VIEW_DELAY: Nanos = 1_200 * MS; // until a death is known, as the membership takes at 300 nodes
+const PROPOSAL_INTERVAL: Nanos = 250 * MS;
+const FILE_WRITE_OPERATIONS: usize = 4; // of a disk, a file
+const SHUTDOWN_TIME: Nanos = 300 * MS;
+const SETTLE_TIME: Nanos = 20 * SECOND; // from the last fault on, until a command must be agreed everywhere
 
 /// A fleet and what happens to it.
 #[derive(Clone, Debug)]
-pub struct World {
+pub struct LogScenario {
     /// Nodes, links and faults.
-    pub trial: Trial,
+    pub base: Scenario,
     /// How many nodes, from the first on, may vote.
     pub candidates: usize,
     /// How many do.
     pub voters: usize,
     /// Whether disks last.
-    pub lasting: bool,
+    pub durable_disks: bool,
     /// Whether commands have to be agreed again after the last fault.
-    pub goes_on: bool,
+    pub requires_recovery: bool,
 }
 
 /// What came of it.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
+pub struct RunOutcome {
     /// Laws that were broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// Commands confirmed, and given up.
     pub confirmed: usize,
     /// The same.
-    pub given_up: usize,
+    pub timed_out: usize,
     /// Places agreed on.
-    pub places: usize,
+    pub entries: usize,
     /// Groups that have decided anything.
     pub groups: usize,
     /// From a proposal to its confirmation.
@@ -61,7 +61,7 @@
     /// Bytes a second that each node sent, on the mean.
     pub bytes_s: f64,
     /// Whether all live nodes agreed on a command at the end.
-    pub went_on: bool,
+    pub recovered: bool,
     /// What happened, a line each.
     pub lines: Vec<String>,
 }
@@ -77,25 +77,25 @@
     sent: u64,
 }
 
-enum Ev {
+enum QueuedEvent {
     Step(usize),
     Deliver { to: usize, bytes: Vec<u8> },
-    Due(usize),
-    Saved { node: usize, start: u64, durable: bool },
-    Gone { node: usize, start: u64 },
-    View,
+    Tick(usize),
+    SaveDone { node: usize, start: u64, durable: bool },
+    Exit { node: usize, start: u64 },
+    UpdateViews,
     Propose,
     Probe,
 }
 
-struct Player<'a> {
-    world: &'a World,
+struct Simulator<'a> {
+    scenario: &'a LogScenario,
     tuning: Tuning,
     nodes: Vec<Node>,
     links: Links,
-    watch: Watch,
+    checker: InvariantChecker,
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
-    events: Vec<Option<Ev>>,
+    events: Vec<Option<QueuedEvent>>,
     free: Vec<usize>,
     next: u64,
     now: Nanos,
@@ -103,8 +103,8 @@
     proposed: BTreeMap<u128, Nanos>,
     probe: Option<u128>,
     lost_lead: Option<Nanos>,
-    played: Played,
-    logs: bool,
+    outcome: RunOutcome,
+    record_lines: bool,
 }
 
 fn address(node: usize) -> SocketAddr {
@@ -118,10 +118,12 @@
 }
 
 /// Plays a world; `defect` stands in every node. The same world gives the same.
-pub fn play(world: &World, defect: Option<Defect>, logs: bool) -> Result<Played, String> {
-    let trial = &world.trial;
-    trial.check()?;
-    let steps = steps(trial)?;
+pub fn simulate(
+    scenario: &LogScenario, defect: Option<Defect>, record_lines: bool,
+) -> Result<RunOutcome, String> {
+    let base = &scenario.base;
+    base.check()?;
+    let steps = steps(base)?;
     let last = steps.last().map_or(0, |step| step.at);
     let node = |n: usize| Node {
         name: format!("n{n}").into(),
@@ -129,44 +131,44 @@
         paused: false,
         starts: 0,
         scheduled: None,
-        disk: ModelDisk::new(trial.seed, n as u64),
+        disk: ModelDisk::new(base.seed, n as u64),
         down_since: None,
         sent: 0,
     };
-    let mut player = Player {
-        world,
+    let mut simulator = Simulator {
+        scenario,
         tuning: Tuning { defect, ..Tuning::default() },
-        nodes: (0..trial.fleet.nodes).map(node).collect(),
-        links: Links::new(trial.network.clone(), trial.seed),
-        watch: Watch::default(),
+        nodes: (0..base.fleet.nodes).map(node).collect(),
+        links: Links::new(base.network.clone(), base.seed),
+        checker: InvariantChecker::default(),
         queue: BinaryHeap::new(),
         events: Vec::new(),
         free: Vec::new(),
         next: 0,
         now: 0,
-        stream: Seed(trial.seed).stream("proposals", 0),
+        stream: Seed(base.seed).stream("proposals", 0),
         proposed: BTreeMap::new(),
         probe: None,
         lost_lead: None,
-        played: Played::default(),
-        logs,
+        outcome: RunOutcome::default(),
+        record_lines,
     };
-    for n in 0..trial.fleet.nodes {
-        player.start(n, Kept::Empty);
+    for n in 0..base.fleet.nodes {
+        simulator.start(n, DiskContents::Empty);
     }
     for (n, step) in steps.iter().enumerate() {
-        player.push(step.at, Ev::Step(n));
+        simulator.push(step.at, QueuedEvent::Step(n));
     }
-    player.push(0, Ev::View);
-    player.push(SECOND, Ev::Propose);
-    let end = nanos(trial.seconds);
-    player.push((last + SETTLE).min(end.saturating_sub(5 * SECOND)), Ev::Probe);
-    player.run(&steps, end);
-    Ok(player.finish(end))
+    simulator.push(0, QueuedEvent::UpdateViews);
+    simulator.push(SECOND, QueuedEvent::Propose);
+    let end = nanos(base.seconds);
+    simulator.push((last + SETTLE_TIME).min(end.saturating_sub(5 * SECOND)), QueuedEvent::Probe);
+    simulator.run(&steps, end);
+    Ok(simulator.finish(end))
 }
 
-impl Player<'_> {
-    fn push(&mut self, at: Nanos, event: Ev) {
+impl Simulator<'_> {
+    fn push(&mut self, at: Nanos, event: QueuedEvent) {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
@@ -177,10 +179,10 @@
     }
 
     fn line(&mut self, node: Option<usize>, what: String) {
-        if self.logs {
+        if self.record_lines {
             let at = self.now as f64 / SECOND as f64;
             let node = node.map_or(String::new(), |node| format!(" n{node}"));
-            self.played.lines.push(format!("{at:9.3}{node} {what}"));
+            self.outcome.lines.push(format!("{at:9.3}{node} {what}"));
         }
     }
 
@@ -193,42 +195,42 @@
             self.free.push(slot);
             let Some(event) = self.events[slot].take() else { continue };
             match event {
-                Ev::Step(n) => self.step(&steps[n].what),
-                Ev::Deliver { to, bytes } => {
+                QueuedEvent::Step(n) => self.step(&steps[n].action),
+                QueuedEvent::Deliver { to, bytes } => {
                     if !self.nodes[to].paused {
-                        self.feed(to, Event::Datagram(&bytes));
+                        self.handle_event(to, Event::Datagram(&bytes));
                     }
                 }
-                Ev::Due(node) => {
+                QueuedEvent::Tick(node) => {
                     if self.nodes[node].scheduled == Some(at) {
                         self.nodes[node].scheduled = None;
                         if !self.nodes[node].paused {
-                            self.feed(node, Event::Tick);
+                            self.handle_event(node, Event::Tick);
                         }
                     }
                 }
-                Ev::Saved { node, start, durable } => {
+                QueuedEvent::SaveDone { node, start, durable } => {
                     if self.nodes[node].starts == start {
                         if self.nodes[node].paused {
-                            self.push(at + 10 * MS, Ev::Saved { node, start, durable });
+                            self.push(at + 10 * MS, QueuedEvent::SaveDone { node, start, durable });
                         } else {
-                            self.feed(node, Event::Persisted(durable));
+                            self.handle_event(node, Event::Persisted(durable));
                         }
                     }
                 }
-                Ev::Gone { node, start } => {
+                QueuedEvent::Exit { node, start } => {
                     if self.nodes[node].starts == start {
                         self.end(node);
                     }
                 }
-                Ev::View => self.view(),
-                Ev::Propose => self.propose(),
-                Ev::Probe => {
+                QueuedEvent::UpdateViews => self.update_views(),
+                QueuedEvent::Propose => self.propose(),
+                QueuedEvent::Probe => {
                     let id = self.stream.random::<u128>() | 1;
                     self.probe = Some(id);
                     let up: Vec<usize> = self.up().collect();
                     if let Some(&node) = up.first() {
-                        self.offer(node, id, "probe", None);
+                        self.propose_command(node, id, "probe", None);
                     }
                 }
             }
@@ -240,109 +242,109 @@
         self.nodes.iter().enumerate().filter(move |(_, node)| up(node)).map(|(n, _)| n)
     }
 
-    fn step(&mut self, what: &Do) {
-        self.line(None, what.text());
-        self.links.step(what);
-        match what {
-            Do::Kill(node) => {
+    fn step(&mut self, action: &StepAction) {
+        self.line(None, action.description());
+        self.links.step(action);
+        match action {
+            StepAction::Kill(node) => {
                 self.nodes[*node].disk.crash();
                 self.end(*node);
             }
-            Do::Stop(node) => {
+            StepAction::Stop(node) => {
                 let start = self.nodes[*node].starts;
-                self.push(self.now + LEAVES_IN, Ev::Gone { node: *node, start });
+                self.push(self.now + SHUTDOWN_TIME, QueuedEvent::Exit { node: *node, start });
             }
-            Do::Start(node, kept) => {
+            StepAction::Start(node, contents) => {
                 self.end(*node);
-                self.start(*node, *kept);
+                self.start(*node, *contents);
             }
-            Do::Pause(node) => {
+            StepAction::Pause(node) => {
                 self.nodes[*node].paused = true;
                 self.nodes[*node].down_since.get_or_insert(self.now);
-                self.watch_lead(*node);
+                self.note_lost_leader(*node);
             }
-            Do::Continue(node) => {
+            StepAction::Continue(node) => {
                 self.nodes[*node].paused = false;
                 self.nodes[*node].down_since = None;
-                self.feed(*node, Event::Tick);
+                self.handle_event(*node, Event::Tick);
             }
-            Do::Disk(node, fault) => self.nodes[*node].disk.set(*fault),
-            Do::Begin { .. } | Do::End(_) => {}
+            StepAction::SetDiskFault(node, fault) => self.nodes[*node].disk.set_fault(*fault),
+            StepAction::BeginRule { .. } | StepAction::EndRule(_) => {}
         }
     }
 
-    fn watch_lead(&mut self, node: usize) {
+    fn note_lost_leader(&mut self, node: usize) {
         if self.nodes[node].machine.as_ref().is_some_and(|machine| machine.leading_term().is_some()) {
             self.lost_lead = Some(self.now);
         }
     }
 
-    fn start(&mut self, node: usize, kept: Kept) {
-        let (world, now) = (self.world, self.now);
-        let of = &mut self.nodes[node];
-        of.starts += 1;
-        (of.paused, of.down_since, of.scheduled) = (false, None, None);
-        let kept = if world.lasting { kept } else { Kept::Empty };
-        of.disk.start(kept, None);
-        let (found, doubt) = if world.lasting {
-            let (found, doubt) = KeptLog::load(&of.disk, &of.name);
-            (Some(found), doubt)
+    fn start(&mut self, node: usize, contents: DiskContents) {
+        let (scenario, now) = (self.scenario, self.now);
+        let node_state = &mut self.nodes[node];
+        node_state.starts += 1;
+        (node_state.paused, node_state.down_since, node_state.scheduled) = (false, None, None);
+        let contents = if scenario.durable_disks { contents } else { DiskContents::Empty };
+        node_state.disk.start(contents, None);
+        let (stored, doubt) = if scenario.durable_disks {
+            let (stored, doubt) = KeptLog::load(&node_state.disk, &node_state.name);
+            (Some(stored), doubt)
         } else {
             (None, None)
         };
         let id = Identity {
             cluster: 7,
-            name: of.name.clone(),
-            start_number: of.starts,
-            candidates: (0..world.candidates).map(|n| format!("n{n}").into()).collect(),
-            voter_count: world.voters,
+            name: node_state.name.clone(),
+            start_number: node_state.starts,
+            candidates: (0..scenario.candidates).map(|n| format!("n{n}").into()).collect(),
+            voter_count: scenario.voters,
         };
-        let seed = mix(world.trial.seed ^ mix(node as u64 + (of.starts << 20)));
+        let seed = mix(scenario.base.seed ^ mix(node as u64 + (node_state.starts << 20)));
         let mut out = Vec::new();
-        let machine = ReplicatedLog::new(id, self.tuning.clone(), found, seed, now, &mut out);
-        of.machine = Some(machine);
+        let machine = ReplicatedLog::new(id, self.tuning.clone(), stored, seed, now, &mut out);
+        node_state.machine = Some(machine);
         if let Some(doubt) = doubt {
             self.line(Some(node), format!("doubt: {doubt}"));
         }
         let peers = self.peers(node);
-        self.carry(node, out);
-        self.feed(node, Event::Peers(peers));
+        self.perform_actions(node, out);
+        self.handle_event(node, Event::Peers(peers));
     }
 
     fn end(&mut self, node: usize) {
-        self.watch_lead(node);
-        let of = &mut self.nodes[node];
-        if let Some(machine) = of.machine.take() {
-            of.sent += machine.sent_bytes();
+        self.note_lost_leader(node);
+        let node_state = &mut self.nodes[node];
+        if let Some(machine) = node_state.machine.take() {
+            node_state.sent += machine.sent_bytes();
         }
-        (of.scheduled, of.paused) = (None, false);
-        of.down_since.get_or_insert(self.now);
+        (node_state.scheduled, node_state.paused) = (None, false);
+        node_state.down_since.get_or_insert(self.now);
     }
 
     /// How a node sees the others: what is cut off or down is known to be so after a while.
     fn peers(&self, observer: usize) -> Vec<Peer> {
-        let trial = &self.world.trial;
+        let base = &self.scenario.base;
         let alive = |n: usize| {
-            let of = &self.nodes[n];
-            let dead = of.down_since.is_some_and(|since| self.now >= since + VIEW_LATE);
+            let node_state = &self.nodes[n];
+            let dead = node_state.down_since.is_some_and(|since| self.now >= since + VIEW_DELAY);
             n == observer || !dead && !self.links.is_cut(n, observer) && !self.links.is_cut(observer, n)
         };
         let peer = |n: usize| Peer {
             name: self.nodes[n].name.clone(),
             address: address(n),
-            zone: trial.zone(n).into(),
-            machine: trial.machine(n).into(),
+            zone: base.zone(n).into(),
+            machine: base.machine(n).into(),
             alive: alive(n),
         };
         (0..self.nodes.len()).map(peer).collect()
     }
 
-    fn view(&mut self) {
+    fn update_views(&mut self) {
         for node in self.up().collect::<Vec<_>>() {
             let peers = self.peers(node);
-            self.feed(node, Event::Peers(peers));
+            self.handle_event(node, Event::Peers(peers));
         }
-        self.push(self.now + VIEW_EVERY, Ev::View);
+        self.push(self.now + VIEW_INTERVAL, QueuedEvent::UpdateViews);
     }
 
     fn propose(&mut self) {
@@ -354,103 +356,104 @@
             let state = self.nodes[node].machine.as_ref().map(ReplicatedLog::state);
             let stands = state.and_then(|state| state.value(&key)).map_or(0, |value| value.revision);
             let expect = Some(stands).filter(|_| self.stream.random::<bool>());
-            self.offer(node, id, &key, expect);
+            self.propose_command(node, id, &key, expect);
             if self.stream.random_range(0..4) == 0 {
                 // The same again through another node, as after an answer that was lost.
                 let other = up[self.stream.random_range(0..up.len())];
-                self.offer(other, id, &key, expect);
+                self.propose_command(other, id, &key, expect);
             }
         }
-        let more = self.stream.random_range(0..PROPOSE_EVERY);
-        self.push(self.now + PROPOSE_EVERY / 2 + more, Ev::Propose);
+        let more = self.stream.random_range(0..PROPOSAL_INTERVAL);
+        self.push(self.now + PROPOSAL_INTERVAL / 2 + more, QueuedEvent::Propose);
     }
 
-    fn offer(&mut self, node: usize, id: u128, key: &str, expect: Option<u64>) {
+    fn propose_command(&mut self, node: usize, id: u128, key: &str, expect: Option<u64>) {
         self.proposed.entry(id).or_insert(self.now);
         let set = Set { key: key.to_owned(), expect, value: id.to_le_bytes().to_vec() };
         let body = postcard::to_stdvec(&set).unwrap_or_default();
-        self.feed(node, Event::Propose(Command { id, kind: SET, body }));
+        self.handle_event(node, Event::Propose(Command { id, kind: SET, body }));
     }
 
-    fn feed(&mut self, node: usize, event: Event) {
+    fn handle_event(&mut self, node: usize, event: Event) {
         let Some(machine) = &mut self.nodes[node].machine else { return };
         let mut out = Vec::new();
         machine.handle(self.now, event, &mut out);
-        self.carry(node, out);
+        self.perform_actions(node, out);
     }
 
     fn group(&self, node: usize) -> Group {
         self.nodes[node].machine.as_ref().map(ReplicatedLog::group).unwrap_or_default()
     }
 
-    fn carry(&mut self, node: usize, out: Vec<Action>) {
+    fn perform_actions(&mut self, node: usize, out: Vec<Action>) {
         let mut group = self.group(node);
         for action in out {
             match action {
                 Action::Send { to, bytes } => {
                     let to = number(to);
-                    for way in self.links.fate(self.now, node, to, bytes.len()) {
-                        self.push(self.now + way, Ev::Deliver { to, bytes: bytes.clone() });
+                    for way in self.links.delivery_delays(self.now, node, to, bytes.len()) {
+                        self.push(self.now + way, QueuedEvent::Deliver { to, bytes: bytes.clone() });
                     }
                 }
                 Action::Persist(writes) => self.persist(node, &writes),
-                Action::Notify(note) => self.note(node, &mut group, note),
+                Action::Notify(note) => self.handle_notification(node, &mut group, note),
             }
         }
         let Some(machine) = &self.nodes[node].machine else { return };
         let (vote, due) = (machine.durable_vote(), machine.next_deadline().max(self.now + MS));
         if let Some(vote) = vote {
-            self.watch.voted(self.now, node, vote);
+            self.checker.voted(self.now, node, vote);
         }
         if self.nodes[node].scheduled.is_none_or(|at| due < at) {
             self.nodes[node].scheduled = Some(due);
-            self.push(due, Ev::Due(node));
+            self.push(due, QueuedEvent::Tick(node));
         }
     }
 
     fn persist(&mut self, node: usize, writes: &[FileWrite]) {
-        let of = &self.nodes[node];
-        let saved: Result<(), _> = writes.iter().try_for_each(|write| write.save(&of.disk, &of.name));
-        let takes = MS / 2 + of.disk.takes(WRITE_STEPS * writes.len());
-        let (start, durable) = (of.starts, saved.is_ok());
+        let node_state = &self.nodes[node];
+        let saved: Result<(), _> =
+            writes.iter().try_for_each(|write| write.save(&node_state.disk, &node_state.name));
+        let delay = MS / 2 + node_state.disk.operation_delay(FILE_WRITE_OPERATIONS * writes.len());
+        let (start, durable) = (node_state.starts, saved.is_ok());
         if let Err(fault) = saved {
             self.line(Some(node), format!("disk: {fault}"));
         }
-        self.push(self.now + takes, Ev::Saved { node, start, durable });
+        self.push(self.now + delay, QueuedEvent::SaveDone { node, start, durable });
     }
 
-    fn note(&mut self, node: usize, group: &mut Group, note: Notification) {
+    fn handle_notification(&mut self, node: usize, group: &mut Group, note: Notification) {
         match note {
             Notification::Applied(entry) => {
-                let of = self.nodes[node].machine.as_ref();
+                let node_state = self.nodes[node].machine.as_ref();
                 if let EntryPayload::Command(command) = &entry.what {
-                    let outcome = of.and_then(|machine| machine.state().outcome(command.id)).cloned();
+                    let outcome = node_state.and_then(|machine| machine.state().outcome(command.id)).cloned();
                     if let Some(outcome) = outcome {
-                        self.watch.effect(self.now, node, *group, command.id, &outcome);
+                        self.checker.outcome_applied(self.now, node, *group, command.id, &outcome);
                     }
                 }
-                self.watch.applied(self.now, node, *group, &entry);
+                self.checker.applied(self.now, node, *group, &entry);
             }
             Notification::StateReplaced(to, index) => {
                 *group = to;
-                self.watch.jumped(to, index);
+                self.checker.state_replaced(to, index);
                 self.line(Some(node), format!("holds {to:?} at {index}"));
             }
             Notification::Outcome(id, outcome) => {
                 if let Some(at) = self.proposed.get(&id) {
-                    self.played.latency.push(self.now - at);
+                    self.outcome.latency.push(self.now - at);
                 }
                 if matches!(outcome, Outcome::Done(_)) {
-                    self.played.confirmed += 1;
+                    self.outcome.confirmed += 1;
                 }
-                self.watch.confirmed(self.now, node, *group, id, outcome);
+                self.checker.confirmed(self.now, node, *group, id, outcome);
             }
-            Notification::ProposalTimedOut(_) => self.played.given_up += 1,
+            Notification::ProposalTimedOut(_) => self.outcome.timed_out += 1,
             Notification::Leadership(term) => {
                 if let Some(term) = term {
-                    self.watch.leads(self.now, node, *group, term);
+                    self.checker.leader_elected(self.now, node, *group, term);
                     if let Some(since) = self.lost_lead.take() {
-                        self.played.leaderless.push(self.now - since);
+                        self.outcome.leaderless.push(self.now - since);
                     }
                 }
                 self.line(Some(node), format!("leads {term:?}"));
@@ -459,21 +462,22 @@
         }
     }
 
-    fn finish(mut self, end: Nanos) -> Played {
+    fn finish(mut self, end: Nanos) -> RunOutcome {
         let now = self.now;
         let up: Vec<usize> = self.up().collect();
-        let mut went_on = self.probe.is_some();
+        let mut recovered = self.probe.is_some();
         for &node in &up {
             let Some(machine) = &self.nodes[node].machine else { continue };
-            self.watch.kept(now, node, machine.group(), machine.state());
+            self.checker.check_confirmed_retained(now, node, machine.group(), machine.state());
             let inside = machine.debug_summary();
             let has = self.probe.is_some_and(|id| machine.state().outcome(id).is_some());
-            went_on &= has;
-            self.played.lines.push(format!("at the end n{node}: {inside}"));
-            if self.world.goes_on {
+            recovered &= has;
+            self.outcome.lines.push(format!("at the end n{node}: {inside}"));
+            if self.scenario.requires_recovery {
                 let standing = machine.status(now);
-                self.watch
-                    .expect(now, has, || format!("n{node} does not have the last command: {standing:?}"));
+                self.checker.check_recovered(now, has, || {
+                    format!("n{node} does not have the last command: {standing:?}")
+                });
             }
         }
         let sent: u64 = self
@@ -481,11 +485,11 @@
             .iter()
             .map(|node| node.sent + node.machine.as_ref().map_or(0, ReplicatedLog::sent_bytes))
             .sum();
-        self.played.bytes_s = sent as f64 / self.nodes.len() as f64 / (end as f64 / SECOND as f64);
-        self.played.places = self.watch.places();
-        self.played.groups = self.watch.groups();
-        self.played.went_on = went_on;
-        self.played.breaches = self.watch.breaches;
-        self.played
+        self.outcome.bytes_s = sent as f64 / self.nodes.len() as f64 / (end as f64 / SECOND as f64);
+        self.outcome.entries = self.checker.entry_count();
+        self.outcome.groups = self.checker.group_count();
+        self.outcome.recovered = recovered;
+        self.outcome.violations = self.checker.violations;
+        self.outcome
     }
 }
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -3,28 +3,29 @@
 use merlinfold_simulation::{Nanos, SECOND};
 use serde::Serialize;
 
-use crate::laws::{Breach, Findings};
-use crate::spec::Trial;
+use crate::invariants::{Findings, Violation};
+use crate::scenario::Scenario;
 
 /// Version of the JSON form.
 pub const SCHEMA: u32 = 1;
 /// Lines of a timeline that are kept.
-pub const LINES_MOST: usize = 4_000;
+pub const MAX_TIMELINE_ENTRIES: usize = 4_000;
 
 /// A moment of the timeline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct TimelineEntry {
     /// When, in seconds.
     pub at: f64,
     /// Node that saw it; none: the schedule did it.
     pub node: Option<usize>,
     /// What.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub detail: String,
 }
 
 /// Views at a moment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Moment {
+pub struct ViewSample {
     /// When, in seconds.
     pub at: f64,
     /// Of each node: members that it sees alive; none: the node is down.
@@ -60,19 +61,23 @@
     /// Name of the trial.
     pub name: String,
     /// The trial, as it was played.
-    pub trial: Trial,
+    #[serde(rename = "trial")]
+    pub scenario: Scenario,
     /// On which clock: `virtual` or `processes`.
     pub clock: &'static str,
     /// Laws that did not hold.
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// Why the play tells nothing, if so.
-    pub void: Option<String>,
+    #[serde(rename = "void")]
+    pub void_reason: Option<String>,
     /// Figures.
     pub figures: Figures,
     /// What happened.
-    pub timeline: Vec<Line>,
+    pub timeline: Vec<TimelineEntry>,
     /// Views over time.
-    pub moments: Vec<Moment>,
+    #[serde(rename = "moments")]
+    pub samples: Vec<ViewSample>,
 }
 
 fn quantile(sorted: &[f64], share: f64) -> Option<f64> {
@@ -88,7 +93,7 @@
 }
 
 /// Mean and most; none of nothing.
-pub fn mean_and_most(values: &[f64]) -> Option<[f64; 2]> {
+pub fn mean_and_max(values: &[f64]) -> Option<[f64; 2]> {
     let most = values.iter().copied().fold(f64::NAN, f64::max);
     (!values.is_empty()).then(|| [values.iter().sum::<f64>() / values.len() as f64, most])
 }
@@ -100,31 +105,31 @@
 
 impl Report {
     /// From what laws have found.
-    pub fn new(name: &str, trial: &Trial, clock: &'static str, found: Findings) -> Self {
+    pub fn new(name: &str, scenario: &Scenario, clock: &'static str, findings: Findings) -> Self {
         let figures = Figures {
-            detected_s: quantiles(&found.detected_s, [0.5, 0.99]),
-            known_to_all_s: quantiles(&found.known_to_all_s, [0.5, 1.0]),
-            false_deaths: found.false_deaths,
-            one_view_s: found.one_view_s,
+            detected_s: quantiles(&findings.detected_s, [0.5, 0.99]),
+            known_to_all_s: quantiles(&findings.known_to_all_s, [0.5, 1.0]),
+            false_deaths: findings.false_deaths,
+            one_view_s: findings.one_view_s,
             ..Figures::default()
         };
         Report {
             schema: SCHEMA,
             name: name.to_owned(),
-            trial: trial.clone(),
+            scenario: scenario.clone(),
             clock,
-            breaches: found.breaches,
-            void: None,
+            violations: findings.violations,
+            void_reason: None,
             figures,
             timeline: Vec::new(),
-            moments: Vec::new(),
+            samples: Vec::new(),
         }
     }
 
     /// Adds to the timeline, up to its bound.
-    pub fn line(&mut self, at: Nanos, node: Option<usize>, what: String) {
-        if self.timeline.len() < LINES_MOST {
-            self.timeline.push(Line { at: seconds(at), node, what });
+    pub fn add_timeline_entry(&mut self, at: Nanos, node: Option<usize>, what: String) {
+        if self.timeline.len() < MAX_TIMELINE_ENTRIES {
+            self.timeline.push(TimelineEntry { at: seconds(at), node, detail: what });
         }
     }
 
@@ -136,8 +141,10 @@
     /// For people: what came of it, and of each breach what led to it.
     pub fn text(&self) -> String {
         use std::fmt::Write;
-        let mut text =
-            format!("{}: {} Seed {}, {}.\n", self.name, self.trial.question, self.trial.seed, self.clock);
+        let mut text = format!(
+            "{}: {} Seed {}, {}.\n",
+            self.name, self.scenario.question, self.scenario.seed, self.clock
+        );
         let mut figure = |name: &str, value: Option<String>| {
             if let Some(value) = value {
                 let _ = writeln!(text, "{name:<44} {value}");
@@ -152,22 +159,26 @@
         figure("bytes a second a node (mean, most)", two(of.bytes_s));
         figure("share of a core a node (mean, most)", of.processor.map(|[a, b]| format!("{a:.4}, {b:.4}")));
         figure("requests served", of.served.map(|share| format!("{share:.3}")));
-        for breach in &self.breaches {
-            let _ = writeln!(text, "BROKEN {} at {:.1} s: {}", breach.law, breach.at, breach.what);
+        for violation in &self.violations {
+            let _ = writeln!(
+                text,
+                "BROKEN {} at {:.1} s: {}",
+                violation.invariant, violation.at, violation.detail
+            );
         }
-        if let Some(first) = self.breaches.first() {
+        if let Some(first) = self.violations.first() {
             let _ = writeln!(text, "what led to the first:");
             let before = self.timeline.iter().filter(|line| line.at <= first.at);
-            let before: Vec<&Line> = before.collect();
+            let before: Vec<&TimelineEntry> = before.collect();
             for line in before.iter().rev().take(12).rev() {
                 let node = line.node.map(|node| format!("n{node}: ")).unwrap_or_default();
-                let _ = writeln!(text, "  {:>8.2} s  {node}{}", line.at, line.what);
+                let _ = writeln!(text, "  {:>8.2} s  {node}{}", line.at, line.detail);
             }
         }
-        match &self.void {
+        match &self.void_reason {
             Some(why) => text.push_str(&format!("VOID {why}\n")),
-            None if self.breaches.is_empty() => text.push_str("all laws kept\n"),
-            None => text.push_str(&format!("laws were broken; again: --seed {}\n", self.trial.seed)),
+            None if self.violations.is_empty() => text.push_str("all laws kept\n"),
+            None => text.push_str(&format!("laws were broken; again: --seed {}\n", self.scenario.seed)),
         }
         text
     }
--- a/crates/fault-injection/src/scale.rs
+++ b/crates/fault-injection/src/scale.rs
@@ -14,10 +14,10 @@
 use rand::Rng;
 
 const ZONES: usize = 8;
-const MACHINES_A_ZONE: usize = 16;
+const MACHINES_PER_ZONE: usize = 16;
 const SEEDS: usize = 3;
 const PORT: u16 = 7_946;
-const DELAY_LEAST: Nanos = MS / 2; // of a datagram on its way
+const MIN_DELAY: Nanos = MS / 2; // of a datagram on its way
 const DELAY_JITTER: Nanos = 2 * MS;
 /// Virtual time in which a fleet forms; figures are taken from then on.
 pub const WARM_UP: Nanos = 20 * SECOND;
@@ -72,16 +72,16 @@
     pub machine_s: f64,
 }
 
-enum What {
+enum QueuedEvent {
     Deliver { to: usize, from: usize, bytes: Vec<u8> },
-    Due(usize),
+    Tick(usize),
 }
 
-struct Player<'a, M> {
+struct Simulator<'a, M> {
     machines: Vec<M>,
     scheduled: Vec<Option<Nanos>>,
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
-    events: Vec<Option<What>>,
+    events: Vec<Option<QueuedEvent>>,
     free: Vec<usize>,
     pushed: u64,
     now: Nanos,
@@ -111,7 +111,7 @@
         run: 1 << 32,
         profile: Profile {
             zone: format!("z{zone}").into(),
-            machine: format!("z{zone}/{}", node / ZONES % MACHINES_A_ZONE).into(),
+            machine: format!("z{zone}/{}", node / ZONES % MACHINES_PER_ZONE).into(),
             address: address(node),
             version: "0".into(),
             protocols: (1, 1),
@@ -122,9 +122,11 @@
 
 /// Plays a fleet of the machines that `make` makes of an identity and a seed. `clock` is read around each call of a
 /// machine. The same plan gives the same counts and bytes.
-pub fn play<M: Machine>(plan: &Plan, make: impl Fn(Identity, u64) -> M, clock: &dyn Fn() -> u64) -> Measured {
+pub fn simulate<M: Machine>(
+    plan: &Plan, make: impl Fn(Identity, u64) -> M, clock: &dyn Fn() -> u64,
+) -> Measured {
     let machine = |node: usize| make(identity(node), mix(plan.seed ^ mix(node as u64)));
-    let mut player = Player {
+    let mut simulator = Simulator {
         machines: (0..plan.nodes).map(machine).collect(),
         scheduled: vec![None; plan.nodes],
         queue: BinaryHeap::new(),
@@ -139,15 +141,15 @@
         calls: 0,
         in_machine: 0,
     };
-    (0..plan.nodes).for_each(|node| player.schedule(node));
-    player.run_until(WARM_UP);
-    player.reset_counts();
-    player.run_until(WARM_UP + plan.seconds * SECOND);
-    player.measured(plan.nodes as f64 * plan.seconds as f64)
+    (0..plan.nodes).for_each(|node| simulator.schedule(node));
+    simulator.run_until(WARM_UP);
+    simulator.reset_counts();
+    simulator.run_until(WARM_UP + plan.seconds * SECOND);
+    simulator.measured(plan.nodes as f64 * plan.seconds as f64)
 }
 
-impl<M: Machine> Player<'_, M> {
-    fn push(&mut self, at: Nanos, what: What) {
+impl<M: Machine> Simulator<'_, M> {
+    fn push(&mut self, at: Nanos, what: QueuedEvent) {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
@@ -166,19 +168,19 @@
             self.now = at;
             self.free.push(slot);
             match self.events[slot].take() {
-                Some(What::Deliver { to, from, bytes }) => {
-                    self.feed(to, Event::Datagram { from: address(from), bytes: &bytes });
+                Some(QueuedEvent::Deliver { to, from, bytes }) => {
+                    self.handle_event(to, Event::Datagram { from: address(from), bytes: &bytes });
                 }
-                Some(What::Due(node)) if self.scheduled[node] == Some(at) => {
+                Some(QueuedEvent::Tick(node)) if self.scheduled[node] == Some(at) => {
                     self.scheduled[node] = None;
-                    self.feed(node, Event::Tick);
+                    self.handle_event(node, Event::Tick);
                 }
                 _ => {}
             }
         }
     }
 
-    fn feed(&mut self, node: usize, event: Event) {
+    fn handle_event(&mut self, node: usize, event: Event) {
         let mut out = Vec::new();
         let before = (self.clock)();
         self.machines[node].handle(self.now, event, &mut out);
@@ -196,8 +198,8 @@
         self.messages += 1;
         self.bytes += bytes.len() as u64;
         if to < self.machines.len() {
-            let delay = DELAY_LEAST + self.delays.random_range(0..DELAY_JITTER);
-            self.push(self.now + delay, What::Deliver { to, from, bytes });
+            let delay = MIN_DELAY + self.delays.random_range(0..DELAY_JITTER);
+            self.push(self.now + delay, QueuedEvent::Deliver { to, from, bytes });
         }
     }
 
@@ -205,7 +207,7 @@
         let Some(due) = self.machines[node].due().map(|due| due.max(self.now)) else { return };
         if self.scheduled[node].is_none_or(|at| due < at) {
             self.scheduled[node] = Some(due);
-            self.push(due, What::Due(node));
+            self.push(due, QueuedEvent::Tick(node));
         }
     }
 
--- a/crates/fault-injection/src/spec.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Nodes of a trial at most.
-pub const NODES_MOST: usize = 2_000;
+pub const MAX_NODES: usize = 2_000;
 
 /// Number of the first guide server among the ends of links.
-pub const SERVERS: usize = 100_000;
+pub const FIRST_SERVER: usize = 100_000;
 /// Number of discovery.
 pub const DISCOVERY: usize = 200_000;
 /// Number of all clients.
@@ -17,7 +17,7 @@
 /// A trial.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trial {
+pub struct Scenario {
     /// What it is to show.
     pub question: String,
     /// Of all that is drawn.
@@ -26,8 +26,8 @@
     /// Length.
     pub seconds: f64,
     /// Too long for each run of the tests: only played by its name.
-    #[serde(default)]
-    pub by_hand: bool,
+    #[serde(default, rename = "by_hand")]
+    pub manual_only: bool,
     /// Its processes.
     pub fleet: Fleet,
     /// Its links while nothing is wrong.
@@ -58,8 +58,8 @@
     /// And so many do.
     pub voters: usize,
     /// Whether it is kept on disks.
-    #[serde(default)]
-    pub lasting: bool,
+    #[serde(default, rename = "lasting")]
+    pub durable: bool,
 }
 
 /// The processes of a trial.
@@ -120,10 +120,11 @@
     /// When, in seconds.
     pub at: f64,
     /// For how long; none: to the end.
-    pub lasts: Option<f64>,
+    #[serde(rename = "lasts")]
+    pub duration: Option<f64>,
     /// What.
     #[serde(flatten)]
-    pub what: What,
+    pub kind: FaultKind,
 }
 
 /// What goes wrong. `who`, `from` and `to` are `all`, `node:N`, `zone:NAME`, `machine:ZONE/N`, `share:0.3` (drawn)
@@ -131,14 +132,14 @@
 /// there are also `servers`, `server:N`, `discovery` and `clients`. In virtual time only links between nodes matter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum What {
+pub enum FaultKind {
     /// Killed outright, and started again at the fault's end.
     Kill {
         /// Which nodes.
         who: String,
         /// What the disk holds then.
         #[serde(default)]
-        disk: Kept,
+        disk: DiskContents,
     },
     /// Told to end, one after the other, and started again when it has.
     Roll {
@@ -220,7 +221,7 @@
 /// What a disk holds when its node starts again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kept {
+pub enum DiskContents {
     /// What was durable.
     #[default]
     Kept,
@@ -259,11 +260,11 @@
 }
 
 /// The longest step of a slow disk.
-pub const SLOW: Nanos = 2 * SECOND;
+pub const MAX_SLOW_STEP: Nanos = 2 * SECOND;
 
 impl DiskFault {
     /// Whether it needs a store beneath the program: no folder of the machine can be made to do it.
-    pub fn is_of_the_store(self) -> bool {
+    pub fn needs_faulty_store(self) -> bool {
         matches!(
             self,
             DiskFault::SyncFails
@@ -275,12 +276,12 @@
     }
 
     /// Whether what was kept before it can be lost by it.
-    pub fn lies(self) -> bool {
+    pub fn loses_confirmed_writes(self) -> bool {
         matches!(self, DiskFault::SyncLies | DiskFault::NamesLost)
     }
 
     /// Whether a start may find nothing, though something was kept.
-    pub fn hides(self) -> bool {
+    pub fn may_hide_stored_files(self) -> bool {
         matches!(self, DiskFault::Gone | DiskFault::ReadFails | DiskFault::Slow)
     }
 }
@@ -305,20 +306,21 @@
     }
 }
 
-impl Trial {
+impl Scenario {
     /// Reads and checks a trial. The error names line and field.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let trial: Trial = merlinfold_config::parse(text).map_err(|fault: TextFault| fault.to_string())?;
-        trial.check()?;
-        Ok(trial)
+        let scenario: Scenario =
+            merlinfold_config::parse(text).map_err(|fault: TextFault| fault.to_string())?;
+        scenario.check()?;
+        Ok(scenario)
     }
 
     /// Whether it can be played.
     pub fn check(&self) -> Result<(), String> {
         let fleet = &self.fleet;
         let wrong = |field: &str, why: String| Err(format!("{field}: {why}"));
-        if !(1..=NODES_MOST).contains(&fleet.nodes) {
-            return wrong("fleet.nodes", format!("1 to {NODES_MOST}"));
+        if !(1..=MAX_NODES).contains(&fleet.nodes) {
+            return wrong("fleet.nodes", format!("1 to {MAX_NODES}"));
         }
         if fleet.zones.is_empty() || fleet.machines == 0 || fleet.seeds == 0 {
             return wrong("fleet", "zones, machines and seeds: at least one each".to_owned());
@@ -331,34 +333,34 @@
         }
         for (n, fault) in self.faults.iter().enumerate() {
             let field = format!("fault.{n}");
-            let lasts = fault.lasts.unwrap_or(0.0);
-            let sides = match &fault.what {
-                What::Kill { who, .. }
-                | What::Roll { who, .. }
-                | What::Pause { who }
-                | What::Disk { who, .. } => {
+            let duration = fault.duration.unwrap_or(0.0);
+            let sides = match &fault.kind {
+                FaultKind::Kill { who, .. }
+                | FaultKind::Roll { who, .. }
+                | FaultKind::Pause { who }
+                | FaultKind::Disk { who, .. } => {
                     vec![who]
                 }
-                What::Cut { from, to, .. }
-                | What::Reset { from, to }
-                | What::Thin { from, to, .. }
-                | What::Delay { from, to, .. }
-                | What::Throttle { from, to, .. }
-                | What::Duplicate { from, to, .. } => vec![from, to],
+                FaultKind::Cut { from, to, .. }
+                | FaultKind::Reset { from, to }
+                | FaultKind::Thin { from, to, .. }
+                | FaultKind::Delay { from, to, .. }
+                | FaultKind::Throttle { from, to, .. }
+                | FaultKind::Duplicate { from, to, .. } => vec![from, to],
             };
-            if !(fault.at >= 0.0 && lasts >= 0.0 && fault.at + lasts <= self.seconds) {
+            if !(fault.at >= 0.0 && duration >= 0.0 && fault.at + duration <= self.seconds) {
                 return wrong(&field, format!("not within the {} s of the trial", self.seconds));
             }
             for side in sides {
-                self.members(side).map_err(|why| format!("{field}: {side:?}: {why}"))?;
+                self.select(side).map_err(|why| format!("{field}: {side:?}: {why}"))?;
             }
         }
         Ok(())
     }
 
     /// Every node and guide server.
-    pub(crate) fn ends(&self) -> impl Iterator<Item = usize> {
-        (0..self.fleet.nodes).chain(SERVERS..SERVERS + self.fleet.servers)
+    pub(crate) fn endpoints(&self) -> impl Iterator<Item = usize> {
+        (0..self.fleet.nodes).chain(FIRST_SERVER..FIRST_SERVER + self.fleet.servers)
     }
 
     /// Zone of a node, or of a guide server by its own number.
@@ -372,16 +374,16 @@
     }
 
     /// Whom a side means: nodes, or a share to be drawn.
-    pub(crate) fn members(&self, side: &str) -> Result<Side, String> {
+    pub(crate) fn select(&self, side: &str) -> Result<EndpointSelection, String> {
         let all = 0..self.fleet.nodes;
-        let servers = SERVERS..SERVERS + self.fleet.servers;
+        let servers = FIRST_SERVER..FIRST_SERVER + self.fleet.servers;
         let (kind, name) = side.split_once(':').unwrap_or((side, ""));
         let chosen: Vec<usize> = match kind {
-            "rest" => return Ok(Side::Rest),
+            "rest" => return Ok(EndpointSelection::Rest),
             "share" => {
                 let share: f64 = name.parse().map_err(|_| "no share".to_owned())?;
                 return if (0.0..=1.0).contains(&share) {
-                    Ok(Side::Share(share))
+                    Ok(EndpointSelection::Share(share))
                 } else {
                     Err("0 to 1".to_owned())
                 };
@@ -391,11 +393,11 @@
                 let node: usize = name.parse().map_err(|_| "no number".to_owned())?;
                 all.filter(|&n| n == node).collect()
             }
-            "zone" => all.filter(|&n| self.zone(n) == name).chain(servers.filter(|&n| self.zone(n - SERVERS) == name)).collect(),
+            "zone" => all.filter(|&n| self.zone(n) == name).chain(servers.filter(|&n| self.zone(n - FIRST_SERVER) == name)).collect(),
             "servers" => servers.collect(),
             "server" => {
                 let server: usize = name.parse().map_err(|_| "no number".to_owned())?;
-                servers.filter(|&n| n == SERVERS + server).collect()
+                servers.filter(|&n| n == FIRST_SERVER + server).collect()
             }
             "discovery" => vec![DISCOVERY],
             "clients" => vec![CLIENTS],
@@ -405,14 +407,14 @@
         if chosen.is_empty() {
             return Err("nobody is meant".to_owned());
         }
-        Ok(Side::These(chosen))
+        Ok(EndpointSelection::Listed(chosen))
     }
 }
 
 /// Whom a side of a fault means.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Side {
-    These(Vec<usize>),
+pub(crate) enum EndpointSelection {
+    Listed(Vec<usize>),
     Share(f64),
     Rest,
 }
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -6,14 +6,14 @@
 use merlinfold_simulation::{Nanos, SECOND};
 use rand::seq::SliceRandom;
 
-use crate::spec::{DiskFault, Kept, Side, Trial, What, SERVERS};
+use crate::scenario::{DiskContents, DiskFault, EndpointSelection, FaultKind, Scenario, FIRST_SERVER};
 
 /// Nodes of one side.
-pub type Nodes = BTreeSet<usize>;
+pub type NodeSet = BTreeSet<usize>;
 
 /// What a link does while a fault is on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum LinkEffect {
     /// Passes nothing.
     Cut,
     /// Passes nothing, and resets connections.
@@ -28,62 +28,62 @@
     Duplicate(f64),
 }
 
-impl Effect {
+impl LinkEffect {
     /// Whether a node may be held dead for it.
-    pub fn is_hard(self) -> bool {
+    pub fn may_cause_death_report(self) -> bool {
         match self {
-            Effect::Cut | Effect::Reset | Effect::Throttle(_) => true,
-            Effect::Thin(loss) => loss > 0.25,
-            Effect::Delay(ms, jitter) => ms + jitter > 20.0,
-            Effect::Duplicate(_) => false,
+            LinkEffect::Cut | LinkEffect::Reset | LinkEffect::Throttle(_) => true,
+            LinkEffect::Thin(loss) => loss > 0.25,
+            LinkEffect::Delay(ms, jitter) => ms + jitter > 20.0,
+            LinkEffect::Duplicate(_) => false,
         }
     }
 }
 
 /// Something to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum StepAction {
     /// Kill a node outright.
     Kill(usize),
     /// Tell a node to end.
     Stop(usize),
     /// Start a node whose disk holds this.
-    Start(usize, Kept),
+    Start(usize, DiskContents),
     /// Stop a node's processor.
     Pause(usize),
     /// And let it go on.
     Continue(usize),
     /// Links from these to those do this from now on.
-    Begin {
+    BeginRule {
         /// Number of the rule, to end it by.
         rule: usize,
         /// Senders.
-        from: Nodes,
+        from: NodeSet,
         /// Receivers.
-        to: Nodes,
+        to: NodeSet,
         /// What.
-        effect: Effect,
+        effect: LinkEffect,
     },
     /// A rule ends.
-    End(usize),
+    EndRule(usize),
     /// A disk does this from now on, or nothing wrong any more.
-    Disk(usize, Option<DiskFault>),
+    SetDiskFault(usize, Option<DiskFault>),
 }
 
-impl Do {
+impl StepAction {
     /// In a line of a report.
-    pub fn text(&self) -> String {
+    pub fn description(&self) -> String {
         match self {
-            Do::Kill(node) => format!("n{node} is killed"),
-            Do::Stop(node) => format!("n{node} is told to end"),
-            Do::Start(node, kept) => format!("n{node} starts, disk {kept:?}"),
-            Do::Pause(node) => format!("n{node} is paused"),
-            Do::Continue(node) => format!("n{node} goes on"),
-            Do::Begin { from, to, effect, .. } => {
+            StepAction::Kill(node) => format!("n{node} is killed"),
+            StepAction::Stop(node) => format!("n{node} is told to end"),
+            StepAction::Start(node, contents) => format!("n{node} starts, disk {contents:?}"),
+            StepAction::Pause(node) => format!("n{node} is paused"),
+            StepAction::Continue(node) => format!("n{node} goes on"),
+            StepAction::BeginRule { from, to, effect, .. } => {
                 format!("links of {} to {} nodes: {effect:?}", from.len(), to.len())
             }
-            Do::End(rule) => format!("rule {rule} of links ends"),
-            Do::Disk(node, fault) => format!("disk of n{node}: {fault:?}"),
+            StepAction::EndRule(rule) => format!("rule {rule} of links ends"),
+            StepAction::SetDiskFault(node, fault) => format!("disk of n{node}: {fault:?}"),
         }
     }
 }
@@ -94,7 +94,7 @@
     /// When.
     pub at: Nanos,
     /// What.
-    pub what: Do,
+    pub action: StepAction,
 }
 
 /// Seconds of a trial file as nanoseconds.
@@ -102,11 +102,11 @@
     (seconds * SECOND as f64) as Nanos
 }
 
-fn draw(side: Side, count: usize, stream: &mut Stream) -> Nodes {
+fn select_nodes(side: EndpointSelection, count: usize, stream: &mut Stream) -> NodeSet {
     match side {
-        Side::These(nodes) => nodes.into_iter().collect(),
-        Side::Rest => Nodes::new(),
-        Side::Share(share) => {
+        EndpointSelection::Listed(nodes) => nodes.into_iter().collect(),
+        EndpointSelection::Rest => NodeSet::new(),
+        EndpointSelection::Share(share) => {
             let mut all: Vec<usize> = (0..count).collect();
             all.shuffle(stream);
             all.truncate((share * count as f64).round() as usize);
@@ -116,65 +116,66 @@
 }
 
 /// Of a side those that are processes of the fleet.
-fn only_nodes(side: Nodes) -> Nodes {
-    side.into_iter().filter(|&end| end < SERVERS).collect()
+fn only_nodes(side: NodeSet) -> NodeSet {
+    side.into_iter().filter(|&end| end < FIRST_SERVER).collect()
 }
 
 /// All steps of a trial, in order of time; the same for the same seed.
-pub fn steps(trial: &Trial) -> Result<Vec<Step>, String> {
-    let count = trial.fleet.nodes;
+pub fn steps(scenario: &Scenario) -> Result<Vec<Step>, String> {
+    let count = scenario.fleet.nodes;
     let mut steps: Vec<Step> = Vec::new();
-    for (n, fault) in trial.faults.iter().enumerate() {
+    for (n, fault) in scenario.faults.iter().enumerate() {
         // A stream for each fault: shrinking one away leaves the draws of the others.
-        let mut stream = Seed(trial.seed).stream("fault", n as u64);
-        let (begins, ends) = (nanos(fault.at), fault.lasts.map(|lasts| nanos(fault.at + lasts)));
-        let mut ends_of = |side: &str| trial.members(side).map(|side| draw(side, count, &mut stream));
-        let mut add = |at: Nanos, what: Do| steps.push(Step { at, what });
-        let ends = |add: &mut dyn FnMut(Nanos, Do), what: Do| {
+        let mut stream = Seed(scenario.seed).stream("fault", n as u64);
+        let (begins, ends) = (nanos(fault.at), fault.duration.map(|duration| nanos(fault.at + duration)));
+        let mut ends_of =
+            |side: &str| scenario.select(side).map(|side| select_nodes(side, count, &mut stream));
+        let mut add = |at: Nanos, action: StepAction| steps.push(Step { at, action });
+        let ends = |add: &mut dyn FnMut(Nanos, StepAction), action: StepAction| {
             if let Some(at) = ends {
-                add(at, what);
+                add(at, action);
             }
         };
-        let (from, to, effects) = match &fault.what {
-            What::Kill { who: side, disk } => {
+        let (from, to, effects) = match &fault.kind {
+            FaultKind::Kill { who: side, disk } => {
                 for node in only_nodes(ends_of(side)?) {
-                    add(begins, Do::Kill(node));
-                    ends(&mut add, Do::Start(node, *disk));
+                    add(begins, StepAction::Kill(node));
+                    ends(&mut add, StepAction::Start(node, *disk));
                 }
                 continue;
             }
-            What::Roll { who: side, every } => {
+            FaultKind::Roll { who: side, every } => {
                 for (turn, node) in only_nodes(ends_of(side)?).into_iter().enumerate() {
                     let at = begins + nanos(every * turn as f64);
-                    add(at, Do::Stop(node));
-                    add(at + nanos(0.7 * every), Do::Start(node, Kept::Kept));
+                    add(at, StepAction::Stop(node));
+                    add(at + nanos(0.7 * every), StepAction::Start(node, DiskContents::Kept));
                 }
                 continue;
             }
-            What::Pause { who: side } => {
+            FaultKind::Pause { who: side } => {
                 for node in only_nodes(ends_of(side)?) {
-                    add(begins, Do::Pause(node));
-                    ends(&mut add, Do::Continue(node));
+                    add(begins, StepAction::Pause(node));
+                    ends(&mut add, StepAction::Continue(node));
                 }
                 continue;
             }
-            What::Disk { who: side, does } => {
+            FaultKind::Disk { who: side, does } => {
                 for node in only_nodes(ends_of(side)?) {
-                    add(begins, Do::Disk(node, Some(*does)));
-                    ends(&mut add, Do::Disk(node, None));
+                    add(begins, StepAction::SetDiskFault(node, Some(*does)));
+                    ends(&mut add, StepAction::SetDiskFault(node, None));
                 }
                 continue;
             }
-            What::Cut { from, to, .. } => (from, to, Effect::Cut),
-            What::Reset { from, to } => (from, to, Effect::Reset),
-            What::Thin { from, to, loss } => (from, to, Effect::Thin(*loss)),
-            What::Delay { from, to, ms, jitter_ms } => (from, to, Effect::Delay(*ms, *jitter_ms)),
-            What::Throttle { from, to, bytes_s } => (from, to, Effect::Throttle(*bytes_s)),
-            What::Duplicate { from, to, share } => (from, to, Effect::Duplicate(*share)),
+            FaultKind::Cut { from, to, .. } => (from, to, LinkEffect::Cut),
+            FaultKind::Reset { from, to } => (from, to, LinkEffect::Reset),
+            FaultKind::Thin { from, to, loss } => (from, to, LinkEffect::Thin(*loss)),
+            FaultKind::Delay { from, to, ms, jitter_ms } => (from, to, LinkEffect::Delay(*ms, *jitter_ms)),
+            FaultKind::Throttle { from, to, bytes_s } => (from, to, LinkEffect::Throttle(*bytes_s)),
+            FaultKind::Duplicate { from, to, share } => (from, to, LinkEffect::Duplicate(*share)),
         };
-        let one_way = matches!(&fault.what, What::Cut { one_way: true, .. });
+        let one_way = matches!(&fault.kind, FaultKind::Cut { one_way: true, .. });
         let (mut left, mut right) = (ends_of(from)?, ends_of(to)?);
-        let rest = |of: &Nodes| trial.ends().filter(|end| !of.contains(end)).collect::<Nodes>();
+        let rest = |of: &NodeSet| scenario.endpoints().filter(|end| !of.contains(end)).collect::<NodeSet>();
         if from == "rest" {
             left = rest(&right);
         }
@@ -186,8 +187,8 @@
                 continue;
             }
             let rule = 2 * n + way;
-            add(begins, Do::Begin { rule, from: from.clone(), to: to.clone(), effect: effects });
-            ends(&mut add, Do::End(rule));
+            add(begins, StepAction::BeginRule { rule, from: from.clone(), to: to.clone(), effect: effects });
+            ends(&mut add, StepAction::EndRule(rule));
         }
     }
     steps.sort_by_key(|step| step.at); // stable: faults of one moment stay in the order of the file
--- a/crates/fault-injection/src/shrink.rs
+++ b/crates/fault-injection/src/shrink.rs
@@ -1,17 +1,17 @@
 //! A smaller schedule that breaks the same law.
 
-use crate::spec::Trial;
+use crate::scenario::Scenario;
 
-const TRIES_MOST: usize = 200;
+const MAX_ATTEMPTS: usize = 200;
 
 /// Takes away faults, then halves their length, then nodes, for as long as `breaks` says that the law still breaks.
 /// The result breaks it too; it is the trial itself if nothing can go.
-pub fn shrink(trial: &Trial, mut breaks: impl FnMut(&Trial) -> bool) -> Trial {
-    let mut best = trial.clone();
+pub fn shrink(scenario: &Scenario, mut breaks: impl FnMut(&Scenario) -> bool) -> Scenario {
+    let mut best = scenario.clone();
     let mut tries = 0;
-    let mut try_out = |smaller: Trial, best: &mut Trial| {
+    let mut try_out = |smaller: Scenario, best: &mut Scenario| {
         tries += 1;
-        let better = tries <= TRIES_MOST && smaller != *best && smaller.check().is_ok() && breaks(&smaller);
+        let better = tries <= MAX_ATTEMPTS && smaller != *best && smaller.check().is_ok() && breaks(&smaller);
         if better {
             *best = smaller;
         }
@@ -29,7 +29,7 @@
         }
         for at in 0..best.faults.len() {
             let mut smaller = best.clone();
-            smaller.faults[at].lasts = smaller.faults[at].lasts.map(|lasts| (lasts / 2.0).ceil());
+            smaller.faults[at].duration = smaller.faults[at].duration.map(|duration| (duration / 2.0).ceil());
             try_out(smaller, &mut best);
         }
         for part in [2, 4] {
@@ -46,21 +46,22 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::spec::What;
+    use crate::scenario::FaultKind;
 
     #[test]
     fn what_does_not_matter_is_taken_away() {
         let text = "question = \"q\"\nseconds = 100.0\n[fleet]\nnodes = 40\nzones = [\"a\"]\n".to_owned();
         let fault =
             |kind| format!("[[fault]]\nat = 5.0\nlasts = 32.0\nkind = \"{kind}\"\nwho = \"node:1\"\n");
-        let trial = Trial::parse(&(text + &fault("kill") + &fault("pause") + &fault("kill"))).unwrap();
-        let pauses = |trial: &Trial| {
-            let long = |fault: &crate::spec::Fault| fault.lasts.is_some_and(|lasts| lasts >= 3.0);
-            trial.fleet.nodes > 6
-                && trial.faults.iter().any(|f| matches!(f.what, What::Pause { .. }) && long(f))
+        let scenario = Scenario::parse(&(text + &fault("kill") + &fault("pause") + &fault("kill"))).unwrap();
+        let pauses = |scenario: &Scenario| {
+            let long =
+                |fault: &crate::scenario::Fault| fault.duration.is_some_and(|duration| duration >= 3.0);
+            scenario.fleet.nodes > 6
+                && scenario.faults.iter().any(|f| matches!(f.kind, FaultKind::Pause { .. }) && long(f))
         };
-        let small = shrink(&trial, pauses);
+        let small = shrink(&scenario, pauses);
         assert!(pauses(&small));
-        assert_eq!((small.faults.len(), small.faults[0].lasts, small.fleet.nodes), (1, Some(4.0), 8));
+        assert_eq!((small.faults.len(), small.faults[0].duration, small.fleet.nodes), (1, Some(4.0), 8));
     }
 }
--- a/crates/fault-injection/src/virtual_time.rs
+++ b/crates/fault-injection/src/virtual_time.rs
@@ -12,17 +12,19 @@
 use merlinfold_simulation::{Nanos, MS, SECOND};
 
 use crate::disk::ModelDisk;
-use crate::doubles::Double;
-use crate::laws::{all, of_member, Findings, Law, Truth, Views, MOMENT};
+use crate::faulty_node::FaultyNode;
+use crate::invariants::{
+    all_invariants, member_change, ActualState, Findings, Invariant, Views, SAMPLE_INTERVAL,
+};
 use crate::link::Links;
-use crate::report::{mean_and_most, Moment, Report};
-use crate::schedule::{nanos, steps, Do, Step};
-use crate::spec::{DiskFault, Kept, Trial};
+use crate::report::{mean_and_max, Report, ViewSample};
+use crate::scenario::{DiskContents, DiskFault, Scenario};
+use crate::schedule::{nanos, steps, Step, StepAction};
 
-const INBOX_MOST: usize = 256; // datagrams that a kernel keeps for a process that does not read
-const START_STEPS: usize = 6; // of a disk: open, read, write, sync, rename, sync of the folder
-const LEAVES_IN: Nanos = 400 * MS; // from being told to end to the end
-const STARTED: Nanos = 20 * SECOND; // by when a fleet that starts at once is one; bytes are counted from then on
+const MAX_QUEUED_DATAGRAMS: usize = 256; // datagrams that a kernel keeps for a process that does not read
+const SAVE_OPERATIONS: usize = 6; // of a disk: open, read, write, sync, rename, sync of the folder
+const SHUTDOWN_TIME: Nanos = 400 * MS; // from being told to end to the end
+const FORMATION_TIME: Nanos = 20 * SECOND; // by when a fleet that starts at once is one; bytes are counted from then on
 const CLUSTER: &str = "guides";
 const OTHER_CLUSTER: &str = "others";
 
@@ -50,15 +52,15 @@
     changed: bool,
 }
 
-enum Ev {
+enum QueuedEvent {
     Step(usize),
     Deliver { to: usize, from: usize, bytes: Vec<u8> },
-    Due(usize),
-    Gone(usize, u64),
-    Join(usize, u64, Box<Saved>),
-    Save(usize, u64),
-    Saved(usize, u64),
-    Moment,
+    Tick(usize),
+    Exit(usize, u64),
+    StartMembership(usize, u64, Box<Saved>),
+    SaveDue(usize, u64),
+    SaveDone(usize, u64),
+    Sample,
 }
 
 impl Node {
@@ -67,64 +69,70 @@
     }
 }
 
-struct Player<'a> {
-    trial: &'a Trial,
-    double: Option<Double>,
+struct Simulator<'a> {
+    scenario: &'a Scenario,
+    faulty_node: Option<FaultyNode>,
     nodes: Vec<Node>,
     links: Links,
-    truth: Truth,
-    laws: Vec<Box<dyn Law>>,
-    found: Findings,
+    actual: ActualState,
+    invariants: Vec<Box<dyn Invariant>>,
+    findings: Findings,
     report: Report,
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
-    events: Vec<Option<Ev>>,
+    events: Vec<Option<QueuedEvent>>,
     free: Vec<usize>,
     next: u64,
     now: Nanos,
 }
 
-struct Seen<'a>(&'a [Node], usize);
+struct NodeViews<'a> {
+    nodes: &'a [Node],
+    fleet_size: usize,
+}
 
-impl Views for Seen<'_> {
+impl Views for NodeViews<'_> {
     fn state(&self, observer: usize, member: usize) -> Option<&'static str> {
-        self.0[observer].machine.as_ref()?.state_of(&self.0[member].name)
+        self.nodes[observer].machine.as_ref()?.state_of(&self.nodes[member].name)
     }
 
     fn majority(&self, observer: usize) -> Option<bool> {
-        self.0[observer].machine.as_ref().map(Membership::majority)
+        self.nodes[observer].machine.as_ref().map(Membership::majority)
     }
 
-    fn accused(&self, observer: usize) -> Option<u64> {
-        self.0[observer].machine.as_ref().map(|machine| machine.counts().accused)
+    fn accusation_count(&self, observer: usize) -> Option<u64> {
+        self.nodes[observer].machine.as_ref().map(|machine| machine.counts().accused)
     }
 
-    fn run(&self, observer: usize) -> Option<u64> {
-        self.0[observer].machine.as_ref().map(Membership::run)
+    fn run_id(&self, observer: usize) -> Option<u64> {
+        self.nodes[observer].machine.as_ref().map(Membership::run)
     }
 
-    fn strangers(&self, observer: usize) -> usize {
-        let of = self.0[observer].machine.as_ref();
-        of.map_or(0, |machine| {
-            self.0[self.1..].iter().filter(|other| machine.state_of(&other.name).is_some()).count()
+    fn foreign_members(&self, observer: usize) -> usize {
+        let node_state = self.nodes[observer].machine.as_ref();
+        node_state.map_or(0, |machine| {
+            self.nodes[self.fleet_size..]
+                .iter()
+                .filter(|other| machine.state_of(&other.name).is_some())
+                .count()
         })
     }
 }
 
 /// Plays it, with `double` in place of every node if there is one. The same trial gives the same report.
-pub fn play(title: &str, trial: &Trial, double: Option<Double>) -> Result<Report, String> {
-    trial.check()?;
-    let steps = steps(trial)?;
+pub fn simulate(title: &str, scenario: &Scenario, faulty_node: Option<FaultyNode>) -> Result<Report, String> {
+    scenario.check()?;
+    let steps = steps(scenario)?;
     let last = steps.last().map_or(0, |step| step.at);
-    let count = trial.fleet.nodes;
-    let all_nodes = count + trial.fleet.strangers;
+    let count = scenario.fleet.nodes;
+    let all_nodes = count + scenario.fleet.strangers;
     let address = |n: usize| SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7_946));
     let nodes = (0..all_nodes).map(|n| Node {
         name: if n < count { name(n) } else { format!("x{n}").into() },
         cluster: if n < count { CLUSTER } else { OTHER_CLUSTER },
         address: address(n),
         profile: Profile {
-            zone: trial.zone(n).into(),
-            machine: trial.machine(n).into(),
+            zone: scenario.zone(n).into(),
+            machine: scenario.machine(n).into(),
             address: address(n),
             version: "0".into(),
             protocols: (1, 1),
@@ -134,7 +142,7 @@
         leaving: false,
         ended: true,
         inbox: VecDeque::new(),
-        disk: ModelDisk::new(trial.seed, n as u64),
+        disk: ModelDisk::new(scenario.seed, n as u64),
         starts: 0,
         run: 0,
         scheduled: None,
@@ -142,37 +150,37 @@
         sent_starting: 0,
         changed: false,
     });
-    let mut player = Player {
-        trial,
-        double,
+    let mut simulator = Simulator {
+        scenario,
+        faulty_node,
         nodes: nodes.collect(),
-        links: Links::new(trial.network.clone(), trial.seed),
-        truth: Truth::new(trial, last),
-        laws: all(trial),
-        found: Findings::default(),
-        report: Report::new(title, trial, "virtual", Findings::default()),
+        links: Links::new(scenario.network.clone(), scenario.seed),
+        actual: ActualState::new(scenario, last),
+        invariants: all_invariants(scenario),
+        findings: Findings::default(),
+        report: Report::new(title, scenario, "virtual", Findings::default()),
         queue: BinaryHeap::new(),
         events: Vec::new(),
         free: Vec::new(),
         next: 0,
         now: 0,
     };
-    if double == Some(Double::Unsynced) {
-        player.nodes.iter().for_each(|node| node.disk.set(Some(DiskFault::SyncLies)));
+    if faulty_node == Some(FaultyNode::Unsynced) {
+        simulator.nodes.iter().for_each(|node| node.disk.set_fault(Some(DiskFault::SyncLies)));
     }
     for node in 0..all_nodes {
-        player.start(node, Kept::Empty);
+        simulator.start(node, DiskContents::Empty);
     }
     for (n, step) in steps.iter().enumerate() {
-        player.push(step.at, Ev::Step(n));
+        simulator.push(step.at, QueuedEvent::Step(n));
     }
-    player.push(MOMENT, Ev::Moment);
-    player.run(&steps, nanos(trial.seconds));
-    Ok(player.finish())
+    simulator.push(SAMPLE_INTERVAL, QueuedEvent::Sample);
+    simulator.run(&steps, nanos(scenario.seconds));
+    Ok(simulator.finish())
 }
 
-impl Player<'_> {
-    fn push(&mut self, at: Nanos, event: Ev) {
+impl Simulator<'_> {
+    fn push(&mut self, at: Nanos, event: QueuedEvent) {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
@@ -191,193 +199,204 @@
             self.free.push(slot);
             let Some(event) = self.events[slot].take() else { continue };
             match event {
-                Ev::Step(n) => self.step(&steps[n].what),
-                Ev::Deliver { to, from, bytes } => self.deliver(to, from, bytes),
-                Ev::Due(node) => {
+                QueuedEvent::Step(n) => self.step(&steps[n].action),
+                QueuedEvent::Deliver { to, from, bytes } => self.deliver(to, from, bytes),
+                QueuedEvent::Tick(node) => {
                     if self.nodes[node].scheduled == Some(at) {
                         self.nodes[node].scheduled = None;
                         if !self.nodes[node].paused {
-                            self.feed(node, Event::Tick);
+                            self.handle_event(node, Event::Tick);
                         }
                     }
                 }
-                Ev::Gone(node, start) => {
+                QueuedEvent::Exit(node, start) => {
                     if self.nodes[node].starts == start {
-                        self.end(node);
+                        self.end_process(node);
                     }
                 }
-                Ev::Join(node, start, saved) => self.join(node, start, *saved),
-                Ev::Save(node, start) => self.save(node, start),
-                Ev::Saved(node, start) => self.saved(node, start),
-                Ev::Moment => self.moment(),
+                QueuedEvent::StartMembership(node, start, saved) => {
+                    self.start_membership(node, start, *saved)
+                }
+                QueuedEvent::SaveDue(node, start) => self.begin_save(node, start),
+                QueuedEvent::SaveDone(node, start) => self.complete_save(node, start),
+                QueuedEvent::Sample => self.sample(),
             }
         }
     }
 
-    fn step(&mut self, what: &Do) {
-        self.report.line(self.now, None, what.text());
-        self.links.step(what);
-        match what {
-            Do::Kill(node) => {
+    fn step(&mut self, action: &StepAction) {
+        self.report.add_timeline_entry(self.now, None, action.description());
+        self.links.step(action);
+        match action {
+            StepAction::Kill(node) => {
                 self.nodes[*node].disk.crash();
-                self.end(*node);
+                self.end_process(*node);
             }
-            Do::Stop(node) => {
+            StepAction::Stop(node) => {
                 self.nodes[*node].leaving = true;
                 let start = self.nodes[*node].starts;
-                self.push(self.now + LEAVES_IN, Ev::Gone(*node, start));
-                self.feed(*node, Event::Leave);
+                self.push(self.now + SHUTDOWN_TIME, QueuedEvent::Exit(*node, start));
+                self.handle_event(*node, Event::Leave);
             }
-            Do::Start(node, kept) => {
-                self.end(*node); // one that still leaves is gone by now
-                self.start(*node, *kept);
+            StepAction::Start(node, contents) => {
+                self.end_process(*node); // one that still leaves is gone by now
+                self.start(*node, *contents);
             }
-            Do::Pause(node) => self.nodes[*node].paused = true,
-            Do::Disk(node, fault) => self.nodes[*node].disk.set(*fault),
-            Do::Continue(_) | Do::Begin { .. } | Do::End(_) => {}
+            StepAction::Pause(node) => self.nodes[*node].paused = true,
+            StepAction::SetDiskFault(node, fault) => self.nodes[*node].disk.set_fault(*fault),
+            StepAction::Continue(_) | StepAction::BeginRule { .. } | StepAction::EndRule(_) => {}
         }
-        self.truth.step(self.now, what);
-        let seen = Seen(&self.nodes, self.trial.fleet.nodes);
-        for law in &mut self.laws {
-            law.step(self.now, &self.truth, what, &seen, &mut self.found);
+        self.actual.apply(self.now, action);
+        let seen = NodeViews { nodes: &self.nodes, fleet_size: self.scenario.fleet.nodes };
+        for invariant in &mut self.invariants {
+            invariant.on_step(self.now, &self.actual, action, &seen, &mut self.findings);
         }
-        if let Do::Continue(node) = what {
+        if let StepAction::Continue(node) = action {
             self.nodes[*node].paused = false;
             // The kernel has kept what came; the process believes that no time has passed.
             while let Some((from, bytes)) = self.nodes[*node].inbox.pop_front() {
-                self.feed(*node, Event::Datagram { from, bytes: &bytes });
+                self.handle_event(*node, Event::Datagram { from, bytes: &bytes });
             }
-            self.feed(*node, Event::Tick);
+            self.handle_event(*node, Event::Tick);
         }
     }
 
-    fn start(&mut self, node: usize, kept: Kept) {
-        let other = (node + 1) % self.trial.fleet.nodes;
+    fn start(&mut self, node: usize, contents: DiskContents) {
+        let other = (node + 1) % self.scenario.fleet.nodes;
         let (mine, others) = (&self.nodes[node], &self.nodes[other]);
         let neighbour = others.disk.clone();
-        mine.disk.start(kept, Some(&neighbour));
+        mine.disk.start(contents, Some(&neighbour));
         let (mut saved, faults) = Keeping::new(&mine.name, mine.cluster).start(&mine.disk);
-        let mut takes = mine.disk.takes(START_STEPS);
+        let mut delay = mine.disk.operation_delay(SAVE_OPERATIONS);
         for fault in faults {
-            self.report.line(self.now, Some(node), format!("fleet.mf: {fault}"));
+            self.report.add_timeline_entry(self.now, Some(node), format!("fleet.mf: {fault}"));
         }
         self.nodes[node].starts += 1;
         self.nodes[node].ended = false;
-        if takes >= START_WITHIN {
-            self.report.line(self.now, Some(node), "fleet.mf: the disk does not answer".to_owned());
-            (takes, saved) = (START_WITHIN, Saved::default());
+        if delay >= START_WITHIN {
+            self.report.add_timeline_entry(
+                self.now,
+                Some(node),
+                "fleet.mf: the disk does not answer".to_owned(),
+            );
+            (delay, saved) = (START_WITHIN, Saved::default());
         }
         let start = self.nodes[node].starts;
-        if takes > 0 {
-            self.push(self.now + takes, Ev::Join(node, start, Box::new(saved)));
+        if delay > 0 {
+            self.push(self.now + delay, QueuedEvent::StartMembership(node, start, Box::new(saved)));
         } else {
-            self.join(node, start, saved);
+            self.start_membership(node, start, saved);
         }
     }
 
     /// The process has what its disk gave, or goes on without.
-    fn join(&mut self, node: usize, start: u64, saved: Saved) {
-        let of = &mut self.nodes[node];
-        if of.starts != start || of.ended {
+    fn start_membership(&mut self, node: usize, start: u64, saved: Saved) {
+        let node_state = &mut self.nodes[node];
+        if node_state.starts != start || node_state.ended {
             return;
         }
-        let random = mix(self.trial.seed ^ mix(node as u64 + (start << 20)));
+        let random = mix(self.scenario.seed ^ mix(node as u64 + (start << 20)));
         let run = saved.run(random as u32);
-        of.run = run;
-        let seeds = (0..self.trial.fleet.seeds.min(self.trial.fleet.nodes)).map(|n| self.nodes[n].address);
+        node_state.run = run;
+        let seeds =
+            (0..self.scenario.fleet.seeds.min(self.scenario.fleet.nodes)).map(|n| self.nodes[n].address);
         let seeds = seeds.chain(saved.addresses).collect();
-        let of = &mut self.nodes[node];
+        let node_state = &mut self.nodes[node];
         let identity = Identity {
-            cluster: of.cluster.into(),
-            name: of.name.clone(),
+            cluster: node_state.cluster.into(),
+            name: node_state.name.clone(),
             run,
-            profile: of.profile.clone(),
+            profile: node_state.profile.clone(),
             seeds,
         };
-        let tuning = self.double.map_or(Tuning::default(), |double| double.tuning(Tuning::default()));
-        of.machine = Some(Membership::new(identity, tuning, random, self.now));
-        (of.paused, of.leaving) = (false, false);
-        of.inbox.clear();
-        self.push(self.now + SAVE_EVERY, Ev::Save(node, start));
-        self.schedule(node);
+        let tuning =
+            self.faulty_node.map_or(Tuning::default(), |faulty_node| faulty_node.tuning(Tuning::default()));
+        node_state.machine = Some(Membership::new(identity, tuning, random, self.now));
+        (node_state.paused, node_state.leaving) = (false, false);
+        node_state.inbox.clear();
+        self.push(self.now + SAVE_EVERY, QueuedEvent::SaveDue(node, start));
+        self.schedule_tick(node);
     }
 
     /// The process is no more.
-    fn end(&mut self, node: usize) {
-        let of = &mut self.nodes[node];
-        if let Some(machine) = of.machine.take() {
-            of.sent_before += machine.counts().sent_bytes;
+    fn end_process(&mut self, node: usize) {
+        let node_state = &mut self.nodes[node];
+        if let Some(machine) = node_state.machine.take() {
+            node_state.sent_before += machine.counts().sent_bytes;
         }
-        (of.scheduled, of.paused, of.ended) = (None, false, true);
-        of.inbox.clear();
+        (node_state.scheduled, node_state.paused, node_state.ended) = (None, false, true);
+        node_state.inbox.clear();
     }
 
-    fn save(&mut self, node: usize, start: u64) {
-        let of = &mut self.nodes[node];
-        if of.starts != start {
+    fn begin_save(&mut self, node: usize, start: u64) {
+        let node_state = &mut self.nodes[node];
+        if node_state.starts != start {
             return;
         }
         let mut next = self.now + SAVE_EVERY;
-        if of.machine.is_some() && of.changed && !of.paused {
-            of.changed = false;
-            let takes = of.disk.takes(START_STEPS);
-            next = next.max(self.now + takes); // one at a time
-            self.push(self.now + takes, Ev::Saved(node, start));
+        if node_state.machine.is_some() && node_state.changed && !node_state.paused {
+            node_state.changed = false;
+            let delay = node_state.disk.operation_delay(SAVE_OPERATIONS);
+            next = next.max(self.now + delay); // one at a time
+            self.push(self.now + delay, QueuedEvent::SaveDone(node, start));
         }
-        self.push(next, Ev::Save(node, start));
+        self.push(next, QueuedEvent::SaveDue(node, start));
     }
 
-    fn saved(&mut self, node: usize, start: u64) {
-        let of = &self.nodes[node];
-        let Some(machine) = of.machine.as_ref().filter(|_| of.starts == start) else { return };
-        let keeping = Keeping::new(&of.name, of.cluster);
-        if let Err(fault) = keeping.save(&of.disk, (of.run >> 32) as u32, machine.addresses()) {
-            self.report.line(self.now, Some(node), format!("fleet.mf: {fault}"));
+    fn complete_save(&mut self, node: usize, start: u64) {
+        let node_state = &self.nodes[node];
+        let Some(machine) = node_state.machine.as_ref().filter(|_| node_state.starts == start) else {
+            return;
+        };
+        let keeping = Keeping::new(&node_state.name, node_state.cluster);
+        if let Err(fault) = keeping.save(&node_state.disk, (node_state.run >> 32) as u32, machine.addresses())
+        {
+            self.report.add_timeline_entry(self.now, Some(node), format!("fleet.mf: {fault}"));
         }
     }
 
     fn deliver(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
-        let (source, of) = (self.nodes[from].address, &mut self.nodes[to]);
-        if of.paused {
-            if of.inbox.len() < INBOX_MOST {
-                of.inbox.push_back((source, bytes));
+        let (source, node_state) = (self.nodes[from].address, &mut self.nodes[to]);
+        if node_state.paused {
+            if node_state.inbox.len() < MAX_QUEUED_DATAGRAMS {
+                node_state.inbox.push_back((source, bytes));
             }
             return;
         }
-        let Some(machine) = &of.machine else { return };
+        let Some(machine) = &node_state.machine else { return };
         let _ = machine;
-        let bytes = match self.double.filter(|_| to < self.trial.fleet.nodes) {
-            Some(double) => {
+        let bytes = match self.faulty_node.filter(|_| to < self.scenario.fleet.nodes) {
+            Some(faulty_node) => {
                 let number = |cluster: &str| {
                     use merlinfold_membership::Identity;
                     Identity {
                         cluster: cluster.into(),
-                        name: of.name.clone(),
+                        name: node_state.name.clone(),
                         run: 0,
-                        profile: of.profile.clone(),
+                        profile: node_state.profile.clone(),
                         seeds: Vec::new(),
                     }
                     .cluster_number()
                 };
                 let clusters = [number(CLUSTER), number(OTHER_CLUSTER)];
-                double.hears(&of.name, clusters[0], &clusters, bytes)
+                faulty_node.filter_datagram(&node_state.name, clusters[0], &clusters, bytes)
             }
             None => bytes,
         };
-        self.feed(to, Event::Datagram { from: source, bytes: &bytes });
+        self.handle_event(to, Event::Datagram { from: source, bytes: &bytes });
     }
 
-    fn feed(&mut self, node: usize, event: Event) {
+    fn handle_event(&mut self, node: usize, event: Event) {
         let Some(machine) = &mut self.nodes[node].machine else { return };
         let mut out = Vec::new();
         machine.handle(self.now, event, &mut out);
         for action in out {
             match action {
                 Action::Send { to, bytes } => self.send(node, to, bytes),
-                Action::Changed(change) => self.changed(node, &change),
+                Action::Changed(change) => self.handle_change(node, &change),
             }
         }
-        self.schedule(node);
+        self.schedule_tick(node);
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
@@ -387,64 +406,67 @@
         if to >= self.nodes.len() {
             return;
         }
-        for way in self.links.fate(self.now, from, to, bytes.len()) {
-            self.push(self.now + way, Ev::Deliver { to, from, bytes: bytes.clone() });
+        for way in self.links.delivery_delays(self.now, from, to, bytes.len()) {
+            self.push(self.now + way, QueuedEvent::Deliver { to, from, bytes: bytes.clone() });
         }
     }
 
-    fn changed(&mut self, node: usize, change: &Change) {
-        if node >= self.trial.fleet.nodes {
+    fn handle_change(&mut self, node: usize, change: &Change) {
+        if node >= self.scenario.fleet.nodes {
             return;
         }
         self.nodes[node].changed = true;
-        if let Some((member, is)) = of_member(change) {
-            for law in &mut self.laws {
-                law.change(self.now, &self.truth, node, member, is, &mut self.found);
+        if let Some((member, is)) = member_change(change) {
+            for invariant in &mut self.invariants {
+                invariant.on_state_change(self.now, &self.actual, node, member, is, &mut self.findings);
             }
         }
         let what = match change {
             Change::Member { name, was, is } => format!("{name}: {} -> {is}", was.unwrap_or("unknown")),
-            Change::Majority(hears) => format!("hears {}", if *hears { "most" } else { "fewer than half" }),
+            Change::Majority(filter_datagram) => {
+                format!("hears {}", if *filter_datagram { "most" } else { "fewer than half" })
+            }
             Change::StoodDown => "stands down".to_owned(),
         };
-        self.report.line(self.now, Some(node), what);
+        self.report.add_timeline_entry(self.now, Some(node), what);
     }
 
-    fn schedule(&mut self, node: usize) {
-        let of = &mut self.nodes[node];
-        let due = of.machine.as_ref().and_then(Membership::due);
-        if of.scheduled.is_none_or(|at| due.is_some_and(|due| due < at)) {
+    fn schedule_tick(&mut self, node: usize) {
+        let node_state = &mut self.nodes[node];
+        let due = node_state.machine.as_ref().and_then(Membership::due);
+        if node_state.scheduled.is_none_or(|at| due.is_some_and(|due| due < at)) {
             if let Some(due) = due {
                 let due = due.max(self.now);
-                of.scheduled = Some(due);
-                self.push(due, Ev::Due(node));
+                node_state.scheduled = Some(due);
+                self.push(due, QueuedEvent::Tick(node));
             }
         }
     }
 
-    fn moment(&mut self) {
-        if self.now <= STARTED {
+    fn sample(&mut self) {
+        if self.now <= FORMATION_TIME {
             self.nodes.iter_mut().for_each(|node| node.sent_starting = node.sent());
         }
-        let seen = Seen(&self.nodes, self.trial.fleet.nodes);
-        for law in &mut self.laws {
-            law.moment(self.now, &self.truth, &seen, &mut self.found);
+        let seen = NodeViews { nodes: &self.nodes, fleet_size: self.scenario.fleet.nodes };
+        for invariant in &mut self.invariants {
+            invariant.on_sample(self.now, &self.actual, &seen, &mut self.findings);
         }
-        let nodes = &self.nodes[..self.trial.fleet.nodes];
+        let nodes = &self.nodes[..self.scenario.fleet.nodes];
         let alive = nodes.iter().map(|node| node.machine.as_ref().map(Membership::alive)).collect();
-        self.report.moments.push(Moment { at: crate::report::seconds(self.now), alive, served: None });
-        self.push(self.now + MOMENT, Ev::Moment);
+        self.report.samples.push(ViewSample { at: crate::report::seconds(self.now), alive, served: None });
+        self.push(self.now + SAMPLE_INTERVAL, QueuedEvent::Sample);
     }
 
     fn finish(mut self) -> Report {
-        let seconds = crate::report::seconds(nanos(self.trial.seconds).saturating_sub(STARTED));
-        let nodes = &self.nodes[..self.trial.fleet.nodes];
+        let seconds = crate::report::seconds(nanos(self.scenario.seconds).saturating_sub(FORMATION_TIME));
+        let nodes = &self.nodes[..self.scenario.fleet.nodes];
         let sent = |node: &Node| (node.sent() - node.sent_starting) as f64 / seconds;
         let sent: Vec<f64> = nodes.iter().filter(|_| seconds > 0.0).map(sent).collect();
-        let judged = Report::new(&self.report.name, self.trial, "virtual", std::mem::take(&mut self.found));
+        let judged =
+            Report::new(&self.report.name, self.scenario, "virtual", std::mem::take(&mut self.findings));
         let mut report = self.report;
-        (report.breaches, report.figures) = (judged.breaches, judged.figures);
-        report.figures.bytes_s = mean_and_most(&sent);
+        (report.violations, report.figures) = (judged.violations, judged.figures);
+        report.figures.bytes_s = mean_and_max(&sent);
         report
     }
 }
--- a/crates/fault-injection/tests/kept.rs
+++ b/crates/fault-injection/tests/catalogue.rs
@@ -1,22 +1,22 @@
 //! The kept trials in virtual time, and doubles that have to break them.
 
-use merlinfold_fault_injection::doubles::Double;
-use merlinfold_fault_injection::spec::Trial;
+use merlinfold_fault_injection::faulty_node::FaultyNode;
+use merlinfold_fault_injection::scenario::Scenario;
 use merlinfold_fault_injection::{catalogue, virtual_time};
 
-fn with_seed(name: &str, seed: u64) -> Trial {
-    Trial { seed, ..catalogue::find(name).unwrap() }
+fn with_seed(name: &str, seed: u64) -> Scenario {
+    Scenario { seed, ..catalogue::find(name).unwrap() }
 }
 
 /// Every kept trial, over seeds that are few enough for each run of the tests.
 #[test]
 fn every_kept_trial_keeps_all_laws() {
     let mut broken = Vec::new();
-    let short = catalogue::KEPT.iter().filter(|(name, _)| !catalogue::find(name).unwrap().by_hand);
+    let short = catalogue::SCENARIOS.iter().filter(|(name, _)| !catalogue::find(name).unwrap().manual_only);
     for (name, _) in short {
         for seed in 1..=4 {
-            let report = virtual_time::play(name, &with_seed(name, seed), None).unwrap();
-            if !report.breaches.is_empty() {
+            let report = virtual_time::simulate(name, &with_seed(name, seed), None).unwrap();
+            if !report.violations.is_empty() {
                 broken.push(report.text());
             }
         }
@@ -28,7 +28,7 @@
 #[test]
 fn a_seed_is_one_report_to_the_byte() {
     let report =
-        |seed| virtual_time::play("all", &with_seed("all-heals-at-once", seed), None).unwrap().json();
+        |seed| virtual_time::simulate("all", &with_seed("all-heals-at-once", seed), None).unwrap().json();
     assert_eq!(report(3), report(3));
     assert_ne!(report(3), report(4));
 }
@@ -36,14 +36,14 @@
 /// Guards the laws themselves: each planted defect breaks the one that is there for it.
 #[test]
 fn each_double_is_caught_by_its_law() {
-    for ((double, law), name) in
-        Double::ALL.into_iter().zip(["machine-drops", "lossy-fleet", "strangers", "machine-drops"])
+    for ((faulty_node, invariant), name) in
+        FaultyNode::ALL.into_iter().zip(["machine-drops", "lossy-fleet", "strangers", "machine-drops"])
     {
         let caught = (1..=5).any(|seed| {
-            let report = virtual_time::play(name, &with_seed(name, seed), Some(double)).unwrap();
-            report.breaches.iter().any(|breach| breach.law == law)
+            let report = virtual_time::simulate(name, &with_seed(name, seed), Some(faulty_node)).unwrap();
+            report.violations.iter().any(|violation| violation.invariant == invariant)
         });
-        assert!(caught, "{double:?} is not caught by {law:?} on {name}");
+        assert!(caught, "{faulty_node:?} is not caught by {invariant:?} on {name}");
     }
 }
 
@@ -58,7 +58,7 @@
         ("[network]\nloss = 1.0\n", "network.loss"),
         ("[rules]\ndetect = 1.0\n", "rules.detect"),
     ] {
-        let fault = Trial::parse(&format!("{base}{more}")).unwrap_err();
+        let fault = Scenario::parse(&format!("{base}{more}")).unwrap_err();
         assert!(fault.contains(says), "{more}: {fault}");
     }
 }
--- a/crates/fault-injection/tests/configuration.rs
+++ b/crates/fault-injection/tests/configuration.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use merlinfold_distribution::Defect;
-use merlinfold_fault_injection::configuration::{draw, play, Kind, Played};
+use merlinfold_fault_injection::configuration::{generate, simulate, RunOutcome, ScenarioKind};
 
 const THREADS: usize = 3;
 
@@ -21,38 +21,48 @@
 }
 
 /// Plays worlds of one kind; says how they went, and which broke a law.
-fn search(seeds: std::ops::Range<u64>, nodes: usize, kind: Kind) -> Vec<String> {
+fn search(seeds: std::ops::Range<u64>, nodes: usize, kind: ScenarioKind) -> Vec<String> {
     let mut broken = Vec::new();
-    let all: Vec<Played> =
-        seeds.clone().map(|seed| play(&draw(seed, nodes, kind), None, false).unwrap()).collect();
-    for (seed, played) in seeds.zip(&all) {
+    let all: Vec<RunOutcome> =
+        seeds.clone().map(|seed| simulate(&generate(seed, nodes, kind), None, false).unwrap()).collect();
+    for (seed, outcome) in seeds.zip(&all) {
         broken.extend(
-            played.breaches.iter().take(1).map(|breach| format!("{seed},{nodes},{kind:?}: {breach:?}")),
+            outcome
+                .violations
+                .iter()
+                .take(1)
+                .map(|violation| format!("{seed},{nodes},{kind:?}: {violation:?}")),
         );
     }
     let (mut failed, mut notes) = (BTreeMap::new(), BTreeMap::new());
-    for played in &all {
-        played.failed.iter().for_each(|(why, count)| *failed.entry(why.clone()).or_insert(0) += count);
-        played.notes.iter().for_each(|(why, count)| *notes.entry(*why).or_insert(0) += count);
+    for outcome in &all {
+        outcome
+            .failed_publications
+            .iter()
+            .for_each(|(why, count)| *failed.entry(why.clone()).or_insert(0) += count);
+        outcome.notes.iter().for_each(|(why, count)| *notes.entry(*why).or_insert(0) += count);
     }
-    let sum = |of: fn(&Played) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
-    let times: Vec<u64> = all.iter().flat_map(|played| played.times.iter().copied()).collect();
-    let to_all: Vec<u64> = all.iter().flat_map(|played| played.to_all.iter().copied()).collect();
+    let sum = |node_state: fn(&RunOutcome) -> f64| {
+        all.iter().map(node_state).sum::<f64>() / all.len().max(1) as f64
+    };
+    let times: Vec<u64> = all.iter().flat_map(|outcome| outcome.apply_latencies.iter().copied()).collect();
+    let to_all: Vec<u64> =
+        all.iter().flat_map(|outcome| outcome.slowest_apply_latencies.iter().copied()).collect();
     println!(
         "{nodes} nodes, {kind:?}: {} worlds, {} broken; {} confirmed; in force after s: median {:.2}, 99th {:.2}, most \
          {:.2}; at all: median {:.2}, 99th {:.2}; {:.0} bytes/s a node, {:.0} the busiest voter; unknown {:.4}; failed \
          {failed:?}; notes {notes:?}",
         all.len(),
         broken.len(),
-        all.iter().map(|played| played.confirmed).sum::<usize>(),
+        all.iter().map(|outcome| outcome.confirmed).sum::<usize>(),
         percentile(&times, 0.5),
         percentile(&times, 0.99),
         percentile(&times, 1.0),
         percentile(&to_all, 0.5),
         percentile(&to_all, 0.99),
-        sum(|played| played.bytes_s),
-        sum(|played| played.voter_bytes_s),
-        sum(|played| played.unknown),
+        sum(|outcome| outcome.bytes_s),
+        sum(|outcome| outcome.voter_bytes_s),
+        sum(|outcome| outcome.unknown_share),
     );
     broken
 }
@@ -63,7 +73,7 @@
     let from = variable("CONFIGURATION_FROM").unwrap_or(0);
     let nodes = variable("CONFIGURATION_NODES").unwrap_or(20) as usize;
     let only = std::env::var("CONFIGURATION_KIND").ok();
-    let kinds: Vec<Kind> = Kind::ALL
+    let kinds: Vec<ScenarioKind> = ScenarioKind::ALL
         .into_iter()
         .filter(|kind| {
             only.as_ref().is_none_or(|only| only.split(',').any(|only| only == format!("{kind:?}")))
@@ -88,18 +98,18 @@
 /// Guards the laws themselves: each planted defect breaks the one that is there for it.
 #[test]
 fn each_double_is_caught_by_its_law() {
-    for (defect, law, kind) in [
-        (Defect::AppliesUncommitted, "committed first", Kind::Faults),
-        (Defect::AppliesHalf, "whole and verified", Kind::Faults),
-        (Defect::TakesLower, "never lower", Kind::LaterDisk),
-        (Defect::SkipsVerification, "whole and verified", Kind::Corrupt),
-        (Defect::SilenceIsApplied, "silence is not applied", Kind::Faults),
+    for (defect, invariant, kind) in [
+        (Defect::AppliesUncommitted, "committed first", ScenarioKind::Faults),
+        (Defect::AppliesHalf, "whole and verified", ScenarioKind::Faults),
+        (Defect::TakesLower, "never lower", ScenarioKind::LaterDisk),
+        (Defect::SkipsVerification, "whole and verified", ScenarioKind::Corrupt),
+        (Defect::SilenceIsApplied, "silence is not applied", ScenarioKind::Faults),
     ] {
         let caught = (0..40).any(|seed| {
-            let played = play(&draw(seed, 9, kind), Some(defect), false).unwrap();
-            played.breaches.iter().any(|breach| breach.law == law)
+            let outcome = simulate(&generate(seed, 9, kind), Some(defect), false).unwrap();
+            outcome.violations.iter().any(|violation| violation.invariant == invariant)
         });
-        assert!(caught, "{defect:?} is not caught by {law:?}");
+        assert!(caught, "{defect:?} is not caught by {invariant:?}");
     }
 }
 
@@ -108,20 +118,20 @@
 fn reports_are_flat_and_reach_everybody() {
     let [small, large] = [60, 120].map(|nodes| {
         std::thread::spawn(move || {
-            let mut world = draw(1, nodes, Kind::Calm);
-            world.trial.seconds = 180.0;
-            play(&world, None, false).unwrap()
+            let mut scenario = generate(1, nodes, ScenarioKind::Calm);
+            scenario.base.seconds = 180.0;
+            simulate(&scenario, None, false).unwrap()
         })
     });
     let (small, large) = (small.join().unwrap(), large.join().unwrap());
     assert!(large.bytes_s < 1.15 * small.bytes_s, "{} and {} bytes a second", small.bytes_s, large.bytes_s);
-    assert!(large.unknown < 0.01, "{} of the members are unknown", large.unknown);
+    assert!(large.unknown_share < 0.01, "{} of the members are unknown", large.unknown_share);
 }
 
 /// Guards replay: a world is one history.
 #[test]
 fn a_world_is_one_history() {
-    let told = |seed| play(&draw(seed, 9, Kind::Faults), None, true).unwrap().lines;
+    let told = |seed| simulate(&generate(seed, 9, ScenarioKind::Faults), None, true).unwrap().lines;
     assert_eq!(told(3), told(3));
     assert_ne!(told(3), told(4));
 }
@@ -129,10 +139,10 @@
 #[test]
 #[ignore = "shows one world: CONFIGURATION_WORLD=seed,nodes,kind"]
 fn show() {
-    let world = std::env::var("CONFIGURATION_WORLD").unwrap();
-    let parts: Vec<&str> = world.split(',').collect();
-    let kind = Kind::ALL.into_iter().find(|kind| format!("{kind:?}") == parts[2]).unwrap();
-    let world = draw(parts[0].parse().unwrap(), parts[1].parse().unwrap(), kind);
-    let played = play(&world, None, true).unwrap();
-    println!("{world:?}\n{}\n{:?}", played.lines.join("\n"), played.breaches);
+    let scenario = std::env::var("CONFIGURATION_WORLD").unwrap();
+    let parts: Vec<&str> = scenario.split(',').collect();
+    let kind = ScenarioKind::ALL.into_iter().find(|kind| format!("{kind:?}") == parts[2]).unwrap();
+    let scenario = generate(parts[0].parse().unwrap(), parts[1].parse().unwrap(), kind);
+    let outcome = simulate(&scenario, None, true).unwrap();
+    println!("{scenario:?}\n{}\n{:?}", outcome.lines.join("\n"), outcome.violations);
 }
--- a/crates/fault-injection/tests/agreed.rs
+++ b/crates/fault-injection/tests/replicated_log.rs
@@ -2,13 +2,13 @@
 //! -- --nocapture drawn` plays 1,700 of each kind; `AGREED_WORLD=44,3,false cargo test -p merlinfold-fault-injection --test agreed
 //! -- --nocapture --ignored show` tells what happens in one.
 
-use merlinfold_fault_injection::agreed::{draw, play, World};
-use merlinfold_fault_injection::spec::{Fault, Fleet, Kept, Network, Rules, What};
-use merlinfold_fault_injection::Trial;
+use merlinfold_fault_injection::replicated_log::{generate, simulate, LogScenario};
+use merlinfold_fault_injection::scenario::{DiskContents, Fault, FaultKind, Fleet, Network, Rules};
+use merlinfold_fault_injection::Scenario;
 use merlinfold_replicated_log::Defect;
 
 /// Seed, nodes and whether disks last, of worlds that broke a law or did not go on once, with what was at fault.
-const KEPT: [(u64, usize, bool); 13] = [
+const SCENARIOS: [(u64, usize, bool); 13] = [
     (43, 5, true),     // a seat was given up with its disk still holding it
     (44, 3, false),    // an empty group of the same epoch kept one of three
     (95, 3, true),     // what came from a term that was over put a seat behind
@@ -24,25 +24,25 @@
     (10_233, 3, true), // the law took a vote that was never durable, and told to nobody, for one
 ];
 
-fn search(seeds: std::ops::Range<u64>, nodes: usize, lasting: bool) -> Vec<String> {
+fn search(seeds: std::ops::Range<u64>, nodes: usize, durable_disks: bool) -> Vec<String> {
     let mut broken = Vec::new();
     let (mut confirmed, all) = (0, seeds.end - seeds.start);
     let mut stuck = Vec::new();
     for seed in seeds {
-        let played = play(&draw(seed, nodes, lasting), None, false).unwrap();
-        confirmed += played.confirmed;
-        if !played.went_on {
+        let outcome = simulate(&generate(seed, nodes, durable_disks), None, false).unwrap();
+        confirmed += outcome.confirmed;
+        if !outcome.recovered {
             stuck.push(seed);
         }
-        for breach in played.breaches.iter().take(1) {
-            broken.push(format!("seed {seed}, {nodes} nodes, lasting {lasting}: {breach:?}"));
+        for violation in outcome.violations.iter().take(1) {
+            broken.push(format!("seed {seed}, {nodes} nodes, lasting {durable_disks}: {violation:?}"));
         }
     }
     let count = broken.len();
-    println!("{nodes} nodes, lasting {lasting}: {all} worlds, {confirmed} confirmed, {count} broken, stuck {stuck:?}");
+    println!("{nodes} nodes, lasting {durable_disks}: {all} worlds, {confirmed} confirmed, {count} broken, stuck {stuck:?}");
     // What a world's end leaves too little time for is rare.
     if stuck.len() as u64 > 1 + all / 100 {
-        broken.push(format!("{nodes} nodes, lasting {lasting}: {stuck:?} did not go on"));
+        broken.push(format!("{nodes} nodes, lasting {durable_disks}: {stuck:?} did not go on"));
     }
     broken
 }
@@ -53,8 +53,9 @@
     let seeds: u64 = std::env::var("AGREED_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(20);
     let from: u64 = std::env::var("AGREED_FROM").ok().and_then(|n| n.parse().ok()).unwrap_or(0);
     let kinds = [(3, false), (3, true), (5, false), (5, true), (9, false), (9, true)];
-    let parts =
-        kinds.map(|(nodes, lasting)| std::thread::spawn(move || search(from..from + seeds, nodes, lasting)));
+    let parts = kinds.map(|(nodes, durable_disks)| {
+        std::thread::spawn(move || search(from..from + seeds, nodes, durable_disks))
+    });
     for part in parts {
         broken.extend(part.join().unwrap());
     }
@@ -64,18 +65,22 @@
 /// Worlds in which a fault was found stay played.
 #[test]
 fn kept_worlds_keep_the_laws_and_go_on() {
-    for (seed, nodes, lasting) in KEPT {
-        let played = play(&draw(seed, nodes, lasting), None, true).unwrap();
-        let lines = played.lines.join("\n");
-        assert!(played.breaches.is_empty(), "{seed}, {nodes}, {lasting}: {:?}\n{lines}", played.breaches);
-        assert!(played.went_on, "{seed}, {nodes}, {lasting} did not go on\n{lines}");
+    for (seed, nodes, durable_disks) in SCENARIOS {
+        let outcome = simulate(&generate(seed, nodes, durable_disks), None, true).unwrap();
+        let lines = outcome.lines.join("\n");
+        assert!(
+            outcome.violations.is_empty(),
+            "{seed}, {nodes}, {durable_disks}: {:?}\n{lines}",
+            outcome.violations
+        );
+        assert!(outcome.recovered, "{seed}, {nodes}, {durable_disks} did not go on\n{lines}");
     }
 }
 
 /// Guards the laws themselves: each planted defect breaks the one that is there for it.
 #[test]
 fn each_double_is_caught_by_its_law() {
-    for (defect, law, lasting) in [
+    for (defect, invariant, durable_disks) in [
         (Defect::ForgetsVote, "one vote", true),
         (Defect::AppliesEarly, "one order", false),
         (Defect::AppliesTwice, "once", false),
@@ -83,33 +88,33 @@
         (Defect::FoundsAlone, "one group decides", false),
     ] {
         let caught = (0..400).any(|seed| {
-            let played = play(&draw(seed, 5, lasting), Some(defect), false).unwrap();
-            played.breaches.iter().any(|breach| breach.law == law)
+            let outcome = simulate(&generate(seed, 5, durable_disks), Some(defect), false).unwrap();
+            outcome.violations.iter().any(|violation| violation.invariant == invariant)
         });
-        assert!(caught, "{defect:?} is not caught by {law:?}");
+        assert!(caught, "{defect:?} is not caught by {invariant:?}");
     }
 }
 
 /// Guards replay: a world is one history.
 #[test]
 fn a_world_is_one_history() {
-    let told = |seed| play(&draw(seed, 5, true), None, true).unwrap().lines;
+    let told = |seed| simulate(&generate(seed, 5, true), None, true).unwrap().lines;
     assert_eq!(told(3), told(3));
     assert_ne!(told(3), told(4));
 }
 
 /// A fleet at size, in which the leader's node is killed again and again.
-fn at_size(nodes: usize, seed: u64, kills: bool) -> World {
+fn at_size(nodes: usize, seed: u64, kills: bool) -> LogScenario {
     let kill = |n: usize| Fault {
         at: 8.0 + 6.0 * n as f64,
-        lasts: Some(2.0),
-        what: What::Kill { who: format!("node:{}", n % 5), disk: Kept::Kept },
+        duration: Some(2.0),
+        kind: FaultKind::Kill { who: format!("node:{}", n % 5), disk: DiskContents::Kept },
     };
-    let trial = Trial {
+    let base = Scenario {
         question: "How fast is the log?".to_owned(),
         seed,
         seconds: 60.0,
-        by_hand: true,
+        manual_only: true,
         fleet: Fleet {
             nodes,
             zones: ["a", "b", "c"].map(str::to_owned).to_vec(),
@@ -123,7 +128,7 @@
         faults: (0..if kills { 5 } else { 0 }).map(kill).collect(),
         rules: Rules::default(),
     };
-    World { trial, candidates: 7, voters: 5, lasting: true, goes_on: true }
+    LogScenario { base, candidates: 7, voters: 5, durable_disks: true, requires_recovery: true }
 }
 
 #[test]
@@ -132,12 +137,12 @@
     for nodes in [20, 100, 300] {
         let (mut latency, mut leaderless, mut bytes) = (Vec::new(), Vec::new(), 0.0);
         for seed in 1..=20 {
-            let played = play(&at_size(nodes, seed, true), None, false).unwrap();
-            assert!(played.breaches.is_empty(), "{nodes}, {seed}: {:?}", played.breaches);
-            latency.extend(played.latency);
-            leaderless.extend(played.leaderless);
+            let outcome = simulate(&at_size(nodes, seed, true), None, false).unwrap();
+            assert!(outcome.violations.is_empty(), "{nodes}, {seed}: {:?}", outcome.violations);
+            latency.extend(outcome.latency);
+            leaderless.extend(outcome.leaderless);
             if seed == 1 {
-                bytes = play(&at_size(nodes, seed, false), None, false).unwrap().bytes_s;
+                bytes = simulate(&at_size(nodes, seed, false), None, false).unwrap().bytes_s;
             }
         }
         let at = |all: &mut Vec<u64>, share: f64| {
@@ -160,9 +165,9 @@
 #[test]
 #[ignore = "shows one world: AGREED_WORLD=seed,nodes,lasting"]
 fn show() {
-    let world = std::env::var("AGREED_WORLD").unwrap();
-    let parts: Vec<&str> = world.split(',').collect();
-    let world = draw(parts[0].parse().unwrap(), parts[1].parse().unwrap(), parts[2] == "true");
-    let played = play(&world, None, true).unwrap();
-    println!("{:?}\n{}\n{:?}", world, played.lines.join("\n"), played.breaches);
+    let scenario = std::env::var("AGREED_WORLD").unwrap();
+    let parts: Vec<&str> = scenario.split(',').collect();
+    let scenario = generate(parts[0].parse().unwrap(), parts[1].parse().unwrap(), parts[2] == "true");
+    let outcome = simulate(&scenario, None, true).unwrap();
+    println!("{:?}\n{}\n{:?}", scenario, outcome.lines.join("\n"), outcome.violations);
 }
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -1,6 +1,6 @@
 //! The membership machine alone in virtual time, by the size of the fleet.
 
-use merlinfold_fault_injection::scale::{play, Plan};
+use merlinfold_fault_injection::scale::{simulate, Plan};
 use merlinfold_membership::{Membership, Tuning};
 
 use super::report::{Figure, Measured, Run, Sweep};
@@ -16,7 +16,7 @@
     let read_ns = cost_of_a_read();
     let run = |&nodes: &usize| {
         let make = |identity, seed| Membership::new(identity, Tuning::default(), seed, 0);
-        let measured = play(&Plan { nodes, seconds, seed }, make, &thread_cpu);
+        let measured = simulate(&Plan { nodes, seconds, seed }, make, &thread_cpu);
         let machine_ns_s = (measured.machine_s - measured.calls_s * read_ns).max(0.0);
         let figures = [
             (Figure::Members, measured.entries as f64),
--- a/crates/lab/src/trial/agreed.rs
+++ b/crates/lab/src/trial/agreed.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use merlinfold_fault_injection::spec::Log;
+use merlinfold_fault_injection::scenario::Log;
 use merlinfold_fleet::LogView;
 use merlinfold_simulation::seed::Seed;
 use rand::Rng;
@@ -48,7 +48,7 @@
 /// The log's table of a node's configuration.
 pub fn table(log: &Log) -> String {
     let candidates: Vec<String> = (0..log.candidates).map(|node| format!("\"n{node}\"")).collect();
-    let durability = if log.lasting { "disk" } else { "none" };
+    let durability = if log.durable { "disk" } else { "none" };
     format!(
         "[fleet.log]\ncandidates = [{}]\nvoters = {}\ndurability = \"{durability}\"\n",
         candidates.join(", "),
--- a/crates/lab/src/trial/command.rs
+++ b/crates/lab/src/trial/command.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Subcommand};
 use merlinfold_fault_injection::report::Report;
-use merlinfold_fault_injection::{catalogue, html, shrink, virtual_time, Trial};
+use merlinfold_fault_injection::{catalogue, html, shrink, virtual_time, Scenario};
 
 use crate::process::NodeCommand;
 
@@ -68,10 +68,10 @@
 }
 
 /// A kept trial, or one in a file.
-fn find(name: &str, seed: Option<u64>, nodes: Option<usize>) -> Result<Trial, String> {
+fn find(name: &str, seed: Option<u64>, nodes: Option<usize>) -> Result<Scenario, String> {
     let mut trial = if Path::new(name).is_file() {
         let text = std::fs::read_to_string(name).map_err(|error| format!("{name}: {error}"))?;
-        Trial::parse(&text).map_err(|fault| format!("{name}:{fault}"))?
+        Scenario::parse(&text).map_err(|fault| format!("{name}:{fault}"))?
     } else {
         catalogue::find(name)?
     };
@@ -85,7 +85,7 @@
 pub async fn carry_out(command: Command) -> Result<ExitCode, String> {
     match command {
         Command::List => {
-            for (name, _) in catalogue::KEPT {
+            for (name, _) in catalogue::SCENARIOS {
                 println!("{name:<20} {}", catalogue::find(name)?.question);
             }
             Ok(ExitCode::SUCCESS)
@@ -103,7 +103,7 @@
     let trial = find(&told.trial, told.seed, told.nodes)?;
     let begun = Instant::now();
     let report: Report = if told.in_virtual_time {
-        virtual_time::play(&told.trial, &trial, None)?
+        virtual_time::simulate(&told.trial, &trial, None)?
     } else {
         let nodes = told.node.as_deref().map_or_else(NodeCommand::own, NodeCommand::of)?;
         super::processes::play(&told.trial, &trial, &nodes, told.logs.as_deref()).await?
@@ -122,7 +122,7 @@
         write(path, &html::page(&report))?;
         println!("page: {}", path.display());
     }
-    Ok(match (&report.void, report.breaches.is_empty()) {
+    Ok(match (&report.void_reason, report.violations.is_empty()) {
         (Some(_), _) => ExitCode::from(VOID),
         (None, true) => ExitCode::SUCCESS,
         (None, false) => ExitCode::FAILURE,
@@ -131,7 +131,7 @@
 
 fn search(name: &str, seeds: u64, nodes: Option<usize>, keep: Option<&Path>) -> Result<ExitCode, String> {
     let trial = find(name, None, nodes)?;
-    let with = |seed| Trial { seed, ..trial.clone() };
+    let with = |seed| Scenario { seed, ..trial.clone() };
     // Seeds are played side by side; what is told is the least that breaks, however they came to an end.
     let (next, broken) = (AtomicU64::new(1), AtomicU64::new(u64::MAX));
     let workers = std::thread::available_parallelism().map_or(1, usize::from);
@@ -141,7 +141,7 @@
             if seed > seeds || broken.load(Ordering::Relaxed) < seed {
                 return Ok::<(), String>(());
             }
-            if !virtual_time::play(name, &with(seed), None)?.breaches.is_empty() {
+            if !virtual_time::simulate(name, &with(seed), None)?.violations.is_empty() {
                 broken.fetch_min(seed, Ordering::Relaxed);
             }
         };
@@ -151,14 +151,14 @@
     let seed = broken.into_inner();
     if seed <= seeds {
         let trial = with(seed);
-        let report = virtual_time::play(name, &trial, None)?;
-        let Some(law) = report.breaches.first().map(|breach| breach.law) else {
+        let report = virtual_time::simulate(name, &trial, None)?;
+        let Some(law) = report.violations.first().map(|violation| violation.invariant) else {
             return Err(format!("seed {seed} broke a law and then did not: a fault of the player"));
         };
         print!("{}", report.text());
-        let breaks = |smaller: &Trial| {
-            let played = virtual_time::play(name, smaller, None);
-            played.is_ok_and(|report| report.breaches.iter().any(|breach| breach.law == law))
+        let breaks = |smaller: &Scenario| {
+            let played = virtual_time::simulate(name, smaller, None);
+            played.is_ok_and(|report| report.violations.iter().any(|violation| violation.invariant == law))
         };
         let small = shrink::shrink(&trial, breaks);
         let text = toml::to_string(&small).map_err(|error| format!("schedule: {error}"))?;
--- a/crates/lab/src/trial/faulty.rs
+++ b/crates/lab/src/trial/faulty.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use merlinfold_fault_injection::spec::{DiskFault, SLOW};
+use merlinfold_fault_injection::scenario::{DiskFault, MAX_SLOW_STEP};
 use merlinfold_fleet::Disks;
 use merlinfold_simulation::seed::{Seed, Stream};
 use merlinfold_store::{Disk, Folder};
@@ -46,7 +46,7 @@
     fn step(&self) -> Option<DiskFault> {
         let fault = (self.fault)();
         if fault == Some(DiskFault::Slow) {
-            let takes = self.held().stream.random_range(0..SLOW);
+            let takes = self.held().stream.random_range(0..MAX_SLOW_STEP);
             std::thread::sleep(Duration::from_nanos(takes));
         }
         fault
@@ -239,8 +239,8 @@
             for (n, (fault, crash)) in plan.into_iter().enumerate() {
                 let value = n as u64 + 1;
                 *now.lock().unwrap() = fault;
-                doubt |= fault.is_some_and(DiskFault::lies);
-                if file.save(&store, &value).is_ok() && !fault.is_some_and(DiskFault::lies) {
+                doubt |= fault.is_some_and(DiskFault::loses_confirmed_writes);
+                if file.save(&store, &value).is_ok() && !fault.is_some_and(DiskFault::loses_confirmed_writes) {
                     (confirmed, doubt) = (value, false);
                 }
                 if crash {
--- a/crates/lab/src/trial/processes.rs
+++ b/crates/lab/src/trial/processes.rs
@@ -6,12 +6,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use merlinfold_fault_injection::laws::{all, Findings, Law, Truth, Views, MOMENT};
+use merlinfold_fault_injection::invariants::{
+    all_invariants, ActualState, Findings, Invariant, Views, SAMPLE_INTERVAL,
+};
 use merlinfold_fault_injection::link::Links;
-use merlinfold_fault_injection::report::{mean_and_most, seconds, Moment, Report};
-use merlinfold_fault_injection::schedule::{nanos, steps, Do};
-use merlinfold_fault_injection::spec::{DiskFault, Kept, What, CLIENTS, DISCOVERY, SERVERS};
-use merlinfold_fault_injection::Trial;
+use merlinfold_fault_injection::report::{mean_and_max, seconds, Report, ViewSample};
+use merlinfold_fault_injection::scenario::{
+    DiskContents, DiskFault, FaultKind, Scenario, CLIENTS, DISCOVERY, FIRST_SERVER,
+};
+use merlinfold_fault_injection::schedule::{nanos, steps, StepAction};
 use merlinfold_fleet::Snapshot;
 use merlinfold_simulation::experiment::Experiment;
 use merlinfold_simulation::ledger::{Law as LedgerLaw, Ledger, Life};
@@ -61,7 +64,7 @@
 }
 
 struct Player<'a> {
-    trial: &'a Trial,
+    trial: &'a Scenario,
     day: Experiment,
     command: &'a NodeCommand,
     clock: Clock,
@@ -77,8 +80,8 @@
     store: bool, // nodes run on the lab's store
     lives: Vec<(Nanos, usize, Life)>,
     fates: Fates,
-    truth: Truth,
-    laws: Vec<Box<dyn Law>>,
+    truth: ActualState,
+    laws: Vec<Box<dyn Invariant>>,
     found: Findings,
     report: Report,
     used: Vec<f64>,
@@ -115,22 +118,22 @@
         self.of(observer).map(|seen| seen.majority)
     }
 
-    fn accused(&self, observer: usize) -> Option<u64> {
+    fn accusation_count(&self, observer: usize) -> Option<u64> {
         self.of(observer).and_then(|seen| seen.counts.get("accused").copied())
     }
 
-    fn run(&self, observer: usize) -> Option<u64> {
+    fn run_id(&self, observer: usize) -> Option<u64> {
         self.of(observer).map(|seen| seen.run)
     }
 
-    fn strangers(&self, observer: usize) -> usize {
+    fn foreign_members(&self, observer: usize) -> usize {
         let others = |line: &&merlinfold_fleet::MemberLine| !line.name.starts_with('n');
         self.of(observer).map_or(0, |seen| seen.members.iter().filter(others).count())
     }
 }
 
 /// The day around the fleet: a light load on servers that can bear it.
-fn day(trial: &Trial) -> Result<Experiment, String> {
+fn day(trial: &Scenario) -> Result<Experiment, String> {
     let mut day = experiments::find("calm")?;
     day.seconds = trial.seconds;
     day.seed = trial.seed;
@@ -153,14 +156,14 @@
 
 /// Plays it. Dropping the future ends all that was started.
 pub async fn play(
-    name: &str, trial: &Trial, command: &NodeCommand, logs: Option<&Path>,
+    name: &str, trial: &Scenario, command: &NodeCommand, logs: Option<&Path>,
 ) -> Result<Report, String> {
     trial.check()?;
     if trial.fleet.strangers > 0 {
         return Err("strangers are played in virtual time only".to_owned());
     }
-    let of_store = |fault: &merlinfold_fault_injection::spec::Fault| match fault.what {
-        What::Disk { does, .. } => does.is_of_the_store(),
+    let of_store = |fault: &merlinfold_fault_injection::scenario::Fault| match fault.kind {
+        FaultKind::Disk { does, .. } => does.needs_faulty_store(),
         _ => false,
     };
     let store = trial.faults.iter().any(of_store);
@@ -182,7 +185,7 @@
     datagrams(&fates, all_of(&inner), all_of(&outer), &mut tasks).await.map_err(cannot)?;
     for node in 0..count {
         let links = (0..trial.fleet.servers)
-            .map(|s| (node, outer.server(node, s), SERVERS + s, inner.server(node, s)));
+            .map(|s| (node, outer.server(node, s), FIRST_SERVER + s, inner.server(node, s)));
         let own = [
             (node, outer.discovery(node), DISCOVERY, inner.discovery(node)),
             (CLIENTS, outer.node(node), node, inner.node(node)),
@@ -195,8 +198,8 @@
     let console = |node| SocketAddr::new(inner.node(node).ip(), CONSOLE_PORT);
     let mut player = Player {
         consoles: (0..count).map(|node| Console { at: console(node), snapshot: None }).collect(),
-        truth: Truth::new(trial, steps.last().map_or(0, |step| step.at)),
-        laws: all(trial),
+        truth: ActualState::new(trial, steps.last().map_or(0, |step| step.at)),
+        laws: all_invariants(trial),
         found: Findings::default(),
         report: Report::new(name, trial, "processes", Findings::default()),
         nodes: (0..count).map(|_| None).collect(),
@@ -220,7 +223,7 @@
         proposals: None,
     };
     for node in 0..count {
-        player.start(node, Kept::Empty)?;
+        player.start(node, DiskContents::Empty)?;
     }
     for node in 0..count {
         if !ready(player.outer.node(node), START).await {
@@ -253,7 +256,7 @@
         let at = |at: Nanos| begun + Duration::from_nanos(at);
         let end = at(nanos(self.trial.seconds));
         let mut steps = steps.iter().peekable();
-        let (mut look, mut moment) = (begun, begun + Duration::from_nanos(MOMENT));
+        let (mut look, mut moment) = (begun, begun + Duration::from_nanos(SAMPLE_INTERVAL));
         loop {
             let due = steps.peek().map_or(end, |step| at(step.at)).min(look).min(moment).min(end);
             sleep_until(due).await;
@@ -262,32 +265,32 @@
                 return Ok(());
             }
             while let Some(step) = steps.next_if(|step| at(step.at) <= now) {
-                self.step(&step.what).await?;
+                self.step(&step.action).await?;
             }
             if look <= now {
                 self.look().await?;
                 look = Instant::now() + LOOK;
             }
             if moment <= now {
-                moment = now + Duration::from_nanos(MOMENT);
+                moment = now + Duration::from_nanos(SAMPLE_INTERVAL);
                 self.moment();
             }
         }
     }
 
-    async fn step(&mut self, what: &Do) -> Result<(), String> {
+    async fn step(&mut self, action: &StepAction) -> Result<(), String> {
         let now = self.clock.now();
-        self.report.line(now, None, what.text());
-        self.fates.step(what);
-        match what {
-            Do::Kill(node) => {
+        self.report.add_timeline_entry(now, None, action.description());
+        self.fates.step(action);
+        match action {
+            StepAction::Kill(node) => {
                 if let Some(process) = self.end(*node) {
                     process.signal(true);
                     self.lives.push((now, *node, Life::Stopped { killed: true }));
                     self.load.node(*node, Some(now + millis(self.day.nodes.notice_ms)));
                 }
             }
-            Do::Stop(node) => {
+            StepAction::Stop(node) => {
                 if let Some(mut process) = self.end(*node) {
                     process.signal(false);
                     self.lives.push((now, *node, Life::Stopped { killed: false }));
@@ -297,7 +300,7 @@
                     });
                 }
             }
-            Do::Start(node, kept) => {
+            StepAction::Start(node, kept) => {
                 self.start(*node, *kept)?;
                 let (at, load, node) = (self.outer.node(*node), self.load.clone(), *node);
                 self.tasks.spawn(async move {
@@ -306,20 +309,20 @@
                     }
                 });
             }
-            Do::Pause(node) | Do::Continue(node) => {
-                let stops = matches!(what, Do::Pause(_));
+            StepAction::Pause(node) | StepAction::Continue(node) => {
+                let stops = matches!(action, StepAction::Pause(_));
                 if let Some(process) = &self.nodes[*node] {
                     process.send(if stops { Signal::STOP } else { Signal::CONT });
                 }
                 self.paused[*node] = stops;
             }
-            Do::Disk(node, fault) => self.break_disk(*node, *fault)?,
-            Do::Begin { .. } | Do::End(_) => {}
+            StepAction::SetDiskFault(node, fault) => self.break_disk(*node, *fault)?,
+            StepAction::BeginRule { .. } | StepAction::EndRule(_) => {}
         }
-        self.truth.step(now, what);
+        self.truth.apply(now, action);
         let seen = Seen(&self.consoles);
         for law in &mut self.laws {
-            law.step(now, &self.truth, what, &seen, &mut self.found);
+            law.on_step(now, &self.truth, action, &seen, &mut self.found);
         }
         Ok(())
     }
@@ -332,7 +335,7 @@
         Some(process)
     }
 
-    fn start(&mut self, node: usize, kept: Kept) -> Result<(), String> {
+    fn start(&mut self, node: usize, kept: DiskContents) -> Result<(), String> {
         self.put_disk(node, kept).map_err(|error| format!("disk of n{node}: {error}"))?;
         let cannot = |error: std::io::Error| format!("node {node}: {error}");
         let disk = self.disk(node);
@@ -373,7 +376,7 @@
     }
 
     /// What the disk holds when its node starts. Root ignores permission bits, so faults are of other kinds.
-    fn put_disk(&self, node: usize, kept: Kept) -> std::io::Result<()> {
+    fn put_disk(&self, node: usize, kept: DiskContents) -> std::io::Result<()> {
         let (disk, before) = (self.disk(node), self.folder.path.join(format!("before-{node}")));
         let view = disk.join("fleet.mf");
         let draw = mix(self.trial.seed ^ mix(node as u64 ^ (self.starts << 20)));
@@ -382,18 +385,18 @@
             _ => Ok(()),
         };
         match kept {
-            Kept::Empty => {
+            DiskContents::Empty => {
                 let _ = std::fs::remove_dir_all(&disk);
             }
-            Kept::Yesterday => copy(&before, &view)?,
-            Kept::Foreign => {
+            DiskContents::Yesterday => copy(&before, &view)?,
+            DiskContents::Foreign => {
                 let other = self.disk((node + 1) % self.trial.fleet.nodes);
                 copy(&other.join("fleet.mf"), &view)?;
             }
-            Kept::Torn | Kept::Flipped => {
+            DiskContents::Torn | DiskContents::Flipped => {
                 if let Ok(mut bytes) = std::fs::read(&view) {
                     let at = (draw % bytes.len().max(1) as u64) as usize;
-                    if kept == Kept::Torn {
+                    if kept == DiskContents::Torn {
                         bytes.truncate(at);
                     } else if let Some(byte) = bytes.get_mut(at) {
                         *byte ^= 1 << (draw >> 32 & 7);
@@ -401,9 +404,9 @@
                     std::fs::write(&view, bytes)?;
                 }
             }
-            Kept::Kept => {}
+            DiskContents::Kept => {}
         }
-        if kept != Kept::Yesterday {
+        if kept != DiskContents::Yesterday {
             copy(&view, &before)?;
         }
         Ok(())
@@ -479,16 +482,20 @@
             if had == Some(is) {
                 continue;
             }
-            if let Some(member) = merlinfold_fault_injection::laws::number(name) {
+            if let Some(member) = merlinfold_fault_injection::invariants::node_number(name) {
                 for law in &mut self.laws {
-                    law.change(now, &self.truth, node, member, is, &mut self.found);
+                    law.on_state_change(now, &self.truth, node, member, is, &mut self.found);
                 }
             }
-            self.report.line(now, Some(node), format!("{name}: {} -> {is}", had.unwrap_or(&"unknown")));
+            self.report.add_timeline_entry(
+                now,
+                Some(node),
+                format!("{name}: {} -> {is}", had.unwrap_or(&"unknown")),
+            );
         }
         if before.is_some_and(|before| before.majority != seen.majority) {
             let what = if seen.majority { "hears most" } else { "hears fewer than half" };
-            self.report.line(now, Some(node), what.to_owned());
+            self.report.add_timeline_entry(now, Some(node), what.to_owned());
         }
     }
 
@@ -496,11 +503,11 @@
         let now = self.clock.now();
         let seen = Seen(&self.consoles);
         for law in &mut self.laws {
-            law.moment(now, &self.truth, &seen, &mut self.found);
+            law.on_sample(now, &self.truth, &seen, &mut self.found);
         }
         let alive =
             self.consoles.iter().map(|console| console.snapshot.as_ref().map(|seen| seen.alive)).collect();
-        self.report.moments.push(Moment { at: seconds(now), alive, served: None });
+        self.report.samples.push(ViewSample { at: seconds(now), alive, served: None });
     }
 
     async fn finish(mut self) -> Result<Report, String> {
@@ -548,53 +555,55 @@
         let broken = of_requests.judge(&self.day, &ledger);
         let judged = Report::new(&self.report.name, self.trial, "processes", self.found);
         let mut report = self.report;
-        (report.breaches, report.figures) = (judged.breaches, judged.figures);
+        (report.violations, report.figures) = (judged.violations, judged.figures);
         for breach in broken {
             if let Some((_, law)) = OF_REQUESTS.into_iter().find(|(law, _)| *law == breach.law) {
-                report.breaches.push(merlinfold_fault_injection::laws::Breach {
-                    law,
+                report.violations.push(merlinfold_fault_injection::invariants::Violation {
+                    invariant: law,
                     at: seconds(now),
-                    what: breach.what,
+                    detail: breach.what,
                 });
             }
         }
         if let Some(told) = agreed {
-            report.line(now, None, told.text);
+            report.add_timeline_entry(now, None, told.text);
             let broken = told.broken.into_iter();
-            report.breaches.extend(broken.map(|(law, what)| merlinfold_fault_injection::laws::Breach {
-                law,
-                at: seconds(now),
-                what,
+            report.violations.extend(broken.map(|(law, what)| {
+                merlinfold_fault_injection::invariants::Violation {
+                    invariant: law,
+                    at: seconds(now),
+                    detail: what,
+                }
             }));
         }
         for what in crashed {
-            report.breaches.push(merlinfold_fault_injection::laws::Breach {
-                law: "ends well",
+            report.violations.push(merlinfold_fault_injection::invariants::Violation {
+                invariant: "ends well",
                 at: seconds(now),
-                what,
+                detail: what,
             });
         }
         let whole = &of_requests.whole;
         let served = whole.served as f64 / whole.asked.max(1) as f64;
         if served < self.trial.rules.served {
             let what = format!("{served:.3} of the requests, {} are wanted", self.trial.rules.served);
-            report.breaches.push(merlinfold_fault_injection::laws::Breach {
-                law: "served",
+            report.violations.push(merlinfold_fault_injection::invariants::Violation {
+                invariant: "served",
                 at: seconds(now),
-                what,
+                detail: what,
             });
         }
         report.figures.served = Some(served);
-        report.figures.bytes_s = mean_and_most(&bytes);
-        report.figures.processor = mean_and_most(&processor);
+        report.figures.bytes_s = mean_and_max(&bytes);
+        report.figures.processor = mean_and_max(&processor);
         // Windows of the ledger under the moments: each moment shows the window that it falls into.
-        for moment in &mut report.moments {
+        for moment in &mut report.samples {
             let window = of_requests.windows.iter().rev().find(|window| window.from_s <= moment.at);
             moment.served = window.filter(|w| w.asked > 0).map(|w| w.served as f64 / w.asked as f64);
         }
         let late = self.fates.late();
         if late > LATE_MOST {
-            report.void =
+            report.void_reason =
                 Some(format!("relays passed on {late} pieces over 50 ms late: the machine is too busy"));
         }
         Ok(report)
--- a/crates/lab/src/trial/relay.rs
+++ b/crates/lab/src/trial/relay.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use merlinfold_fault_injection::link::Links;
-use merlinfold_fault_injection::schedule::Do;
+use merlinfold_fault_injection::schedule::StepAction;
 use merlinfold_simulation::Nanos;
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -44,7 +44,7 @@
     }
 
     /// Carries out a step of the schedule.
-    pub fn step(&self, what: &Do) {
+    pub fn step(&self, what: &StepAction) {
         self.lock().step(what);
         self.changed.send_modify(|n| *n += 1);
     }
@@ -107,7 +107,7 @@
                 let Ok((length, source)) = sockets[to].recv_from(&mut buffer).await else { continue };
                 // Whose it is tells its source: a node sends from where it hears.
                 let Some(from) = inner.iter().position(|at| *at == source) else { continue };
-                let ways = fates.lock().fate(fates.now(), from, to, length);
+                let ways = fates.lock().delivery_delays(fates.now(), from, to, length);
                 for way in ways {
                     let (fates, sockets, bytes) = (fates.clone(), sockets.clone(), buffer[..length].to_vec());
                     let at = inner[to];
@@ -190,7 +190,7 @@
     loop {
         let length = read.read(&mut piece).await?;
         fates.until_open(from, to).await;
-        let way = fates.lock().lag(from, to, length);
+        let way = fates.lock().connection_delay(from, to, length);
         if way > 0 {
             fates.after(way).await;
         }
