--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -3,10 +3,10 @@
 
 use std::net::SocketAddr;
 
-use merlinfold_fault_injection::agreed::{self, World};
-use merlinfold_fault_injection::scale::{play, Machine, Measured, Plan};
-use merlinfold_fault_injection::spec::{Fleet, Network, Rules};
-use merlinfold_fault_injection::Trial;
+use merlinfold_fault_injection::replicated_log::{self, LogScenario};
+use merlinfold_fault_injection::scale::{simulate, Machine, Measured, Plan};
+use merlinfold_fault_injection::scenario::{Fleet, Network, Rules};
+use merlinfold_fault_injection::Scenario;
 use merlinfold_lab::scale::fit::{Fit, Forecast, Point};
 use merlinfold_membership::{Action, Event, Identity, Membership, Tuning};
 use merlinfold_simulation::{Nanos, SECOND};
@@ -60,7 +60,7 @@
 
 fn sweep<M: Machine>(sizes: &[usize], make: impl Fn(Identity, u64) -> M) -> Vec<(usize, Measured)> {
     let plan = |nodes| Plan { nodes, seconds: 10, seed: 1 };
-    sizes.iter().map(|&nodes| (nodes, play(&plan(nodes), &make, &no_clock))).collect()
+    sizes.iter().map(|&nodes| (nodes, simulate(&plan(nodes), &make, &no_clock))).collect()
 }
 
 /// Bytes a second a node by size, as a line.
@@ -88,11 +88,11 @@
 #[test]
 fn the_same_seed_gives_the_same_counts() {
     let plan = Plan { nodes: 50, seconds: 5, seed: 3 };
-    assert_eq!(play(&plan, membership, &no_clock), play(&plan, membership, &no_clock));
+    assert_eq!(simulate(&plan, membership, &no_clock), simulate(&plan, membership, &no_clock));
 }
 
 /// A fleet with an agreed log of five voters to which nothing happens.
-fn quiet_log(nodes: usize) -> World {
+fn quiet_log(nodes: usize) -> LogScenario {
     let fleet = Fleet {
         nodes,
         zones: ["a", "b", "c"].map(str::to_owned).to_vec(),
@@ -101,25 +101,25 @@
         servers: 1,
         strangers: 0,
     };
-    let trial = Trial {
+    let base = Scenario {
         question: "What does the log cost by the size of the fleet?".to_owned(),
         seed: 1,
         seconds: 30.0,
-        by_hand: true,
+        manual_only: true,
         fleet,
         network: Network::default(),
         log: None,
         faults: Vec::new(),
         rules: Rules::default(),
     };
-    World { trial, candidates: 7, voters: 5, lasting: false, goes_on: true }
+    LogScenario { base, candidates: 7, voters: 5, durable_disks: false, requires_recovery: true }
 }
 
 #[test]
 fn bytes_of_the_agreed_log_stay_flat_with_the_fleet() {
     let point = |nodes: usize| {
-        let played = agreed::play(&quiet_log(nodes), None, false).unwrap();
-        assert!(played.breaches.is_empty(), "{nodes}: {:?}", played.breaches);
+        let played = replicated_log::simulate(&quiet_log(nodes), None, false).unwrap();
+        assert!(played.violations.is_empty(), "{nodes}: {:?}", played.violations);
         Point { size: nodes as f64, cost: played.bytes_s }
     };
     let points = [20, 40, 60, 80].map(point);
