--- a/crates/fault-injection/src/catalogue.rs
+++ b/crates/fault-injection/src/catalogue.rs
@@ -1,8 +1,8 @@
-//! The trials that are kept, by name, with the text of their files.
+//! The scenarios that ship with this package, by name.
 
 use crate::scenario::Scenario;
 
-/// All of them.
+/// Name and file content of every shipped scenario, sorted by name.
 pub const SCENARIOS: &[(&str, &str)] = &[
     ("all-heals-at-once", include_str!("../trials/all-heals-at-once.toml")),
     ("bridge", include_str!("../trials/bridge.toml")),
@@ -34,11 +34,11 @@
     ("zone-drops", include_str!("../trials/zone-drops.toml")),
 ];
 
-/// A kept trial. The error names those that are there.
+/// Parses the shipped scenario `name`. The error of an unknown name lists the known ones.
 pub fn find(name: &str) -> Result<Scenario, String> {
-    let Some((_, text)) = SCENARIOS.iter().find(|(kept, _)| *kept == name) else {
-        let kept: Vec<&str> = SCENARIOS.iter().map(|(kept, _)| *kept).collect();
-        return Err(format!("no trial {name}; trials that are kept: {}", kept.join(", ")));
+    let Some((_, text)) = SCENARIOS.iter().find(|(known, _)| *known == name) else {
+        let known: Vec<&str> = SCENARIOS.iter().map(|(known, _)| *known).collect();
+        return Err(format!("unknown trial {name}; expected one of: {}", known.join(", ")));
     };
-    Scenario::parse(text).map_err(|fault| format!("{name}:{fault}"))
+    Scenario::parse(text).map_err(|error| format!("{name}:{error}"))
 }
--- a/crates/fault-injection/src/configuration/generate.rs
+++ b/crates/fault-injection/src/configuration/generate.rs
@@ -1,4 +1,4 @@
-//! Worlds that are drawn: a fleet and a handful of faults from one seed.
+//! Generates random scenarios for the distribution of configuration: a fleet and a few faults from one seed.
 
 use merlinfold_simulation::seed::{Seed, Stream};
 use rand::Rng;
@@ -9,42 +9,43 @@
 const SECONDS: f64 = 60.0;
 const FAULTS_END_S: f64 = 30.0;
 
-/// What happens in a world beside the usual publications.
+/// What happens in a scenario besides the usual publications. The tests select kinds by these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScenarioKind {
-    /// Loss, delays, splits, restarts, pauses and disks, drawn.
+    /// Random loss, delays, partitions, restarts, pauses and disk faults.
     Faults,
-    /// Nothing fails, and publications are as far apart as on the mean day.
+    /// No faults, and publications at the intervals of an average day.
     Calm,
-    /// A part is cut off for an hour of the mean day.
+    /// A part of the fleet is cut off for an hour of an average day.
     HourApart,
-    /// Seven in ten are killed between a confirmation and its spread.
+    /// Seven in ten nodes are killed between a confirmation and the spread of its content.
     MostRestart,
-    /// The publisher and the voter that leads are killed between a confirmation and its spread, again and again.
+    /// The publisher and the leading voter are repeatedly killed between a confirmation and the spread of its
+    /// content.
     LeaderKilled,
-    /// A hundred revisions at once.
+    /// A hundred revisions in quick succession.
     Burst,
-    /// A document of 1.5 MB, by a snapshot and by a delta of its own size.
+    /// A document of 1.5 MB, sent as a snapshot and as a delta of its own size.
     Large,
-    /// A third of the disks is full.
+    /// A third of the disks are full.
     FullDisks,
-    /// A node starts with a later revision than the log's epoch has.
+    /// A node starts with a revision of a later epoch than the log's.
     LaterDisk,
-    /// The voters end at once; the log is founded anew under the next epoch, with or without its last announcements.
+    /// All voters end at once; the log is founded again under the next epoch, with or without its last announcements.
     NewEpoch,
-    /// A revision of a format that some nodes do not know, and one that some refuse.
+    /// One revision has a format that some nodes do not know, and another one is refused by some nodes.
     Refused,
-    /// Nodes that send pieces with a byte changed.
+    /// Some nodes send content with a changed byte.
     Corrupt,
 }
 
 impl ScenarioKind {
-    /// Whether publications are as far apart as on the mean day, up to the end.
-    pub fn is_mean_day(self) -> bool {
+    /// Returns whether publications continue to the end at the intervals of an average day.
+    pub fn is_average_day(self) -> bool {
         matches!(self, ScenarioKind::Calm | ScenarioKind::HourApart)
     }
 
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [ScenarioKind; 12] = [
         ScenarioKind::Faults,
         ScenarioKind::Calm,
@@ -61,7 +62,7 @@
     ];
 }
 
-/// The world of this seed.
+/// Returns the scenario of this seed.
 pub fn generate(seed: u64, nodes: usize, kind: ScenarioKind) -> ConfigurationScenario {
     let mut stream = Seed(seed).stream("configuration", nodes as u64);
     let voters = if nodes >= 5 { 5 } else { 3 };
@@ -89,7 +90,7 @@
     };
     let loss = if kind == ScenarioKind::Calm || stream.random::<bool>() { 0.0 } else { 0.05 };
     let base = Scenario {
-        question: "Does the distribution keep its laws?".to_owned(),
+        question: "Does the distribution keep its invariants?".to_owned(),
         seed,
         seconds: match kind {
             ScenarioKind::Calm => 600.0,
@@ -111,12 +112,13 @@
     }
 }
 
+/// Returns a random fault.
 fn fault(stream: &mut Stream, nodes: usize, voters: usize) -> Fault {
     let at = stream.random_range(3.0..FAULTS_END_S - 10.0);
     let duration = stream.random_range(0.3..10.0);
-    // Most of what matters happens at voters and at the publisher, which come first.
-    let among = if stream.random::<bool>() { (voters + 1).min(nodes) } else { nodes };
-    let who = format!("node:{}", stream.random_range(0..among));
+    // Half of the faults only hit voters and the publisher, which come first, since these matter most.
+    let targets = if stream.random::<bool>() { (voters + 1).min(nodes) } else { nodes };
+    let who = format!("node:{}", stream.random_range(0..targets));
     let share = format!("share:{:.2}", stream.random_range(0.1..0.9));
     let side = if stream.random::<bool>() { share } else { who.clone() };
     let all = || "all".to_owned();
--- a/crates/fault-injection/src/configuration/host.rs
+++ b/crates/fault-injection/src/configuration/host.rs
@@ -1,4 +1,4 @@
-//! The host of each machine: links, disks, and what takes time beside the machine.
+//! The host of each state machine: it delivers events, carries out actions on links and disks, and adds their delays.
 
 use std::sync::Arc;
 
@@ -9,12 +9,12 @@
 use rand::Rng;
 
 use super::content::compose;
-use super::node::number;
+use super::node::node_number;
 use super::simulator::{QueuedEvent, Simulator};
 
-const FILE_WRITE_OPERATIONS: usize = 4; // of a disk, a file
+const FILE_WRITE_OPERATIONS: usize = 4; // disk operations to write a file
 
-/// What a host has done for its machine.
+/// The result of work that a host has done for its state machine.
 pub enum HostResult {
     Composed(Result<Arc<[u8]>, Rejection>),
     Applied(RevisionId, Result<(), Rejection>),
@@ -23,11 +23,12 @@
 }
 
 impl Simulator<'_> {
+    /// Delivers a datagram; content from a node that corrupts pieces arrives with a changed byte.
     pub fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         if !self.nodes[from].corrupts_pieces {
             return self.handle_event(to, Event::Datagram(bytes));
         }
-        // A node whose memory is bad: checksums of datagrams are right, content is not.
+        // A node with bad memory: the checksums of its datagrams are right, the content is not.
         let Ok(mut envelope) = read(bytes) else { return };
         if let Body::Piece { bytes: content, .. } | Body::Offer { first: content, .. } = &mut envelope.body {
             if let Some(last) = content.last_mut() {
@@ -39,24 +40,26 @@
         }
     }
 
+    /// Passes an event to the state machine of a node that is up, and carries out the resulting actions.
     pub fn handle_event(&mut self, node: usize, event: Event) {
         if !self.nodes[node].is_up() {
             return;
         }
         let Some(machine) = &mut self.nodes[node].machine else { return };
-        let mut out = Vec::new();
-        machine.handle(self.now, event, &mut out);
-        self.perform_actions(node, out);
+        let mut actions = Vec::new();
+        machine.handle(self.now, event, &mut actions);
+        self.perform_actions(node, actions);
     }
 
-    pub fn perform_actions(&mut self, node: usize, out: Vec<Action>) {
-        for action in out {
+    /// Carries out actions of a state machine and schedules its next tick.
+    pub fn perform_actions(&mut self, node: usize, actions: Vec<Action>) {
+        for action in actions {
             match action {
                 Action::Send { to, bytes } => {
-                    let to = number(to);
-                    for way in self.links.delivery_delays(self.now, node, to, bytes.len()) {
+                    let to = node_number(to);
+                    for transit in self.links.delivery_delays(self.now, node, to, bytes.len()) {
                         self.push(
-                            self.now + way,
+                            self.now + transit,
                             QueuedEvent::Deliver { from: node, to, bytes: bytes.clone() },
                         );
                     }
@@ -69,7 +72,7 @@
                     self.checker.applies(self.now, node, &document);
                     let id = document.announcement.id;
                     let refuses = self.nodes[node].refused_number == Some(id.number);
-                    let refused = Rejection("this node refuses it".to_owned());
+                    let refused = Rejection("the node refuses this revision".to_owned());
                     let result = if refuses { Err(refused) } else { Ok(()) };
                     self.schedule_host_result(node, 50 * MS, HostResult::Applied(id, result));
                 }
@@ -89,11 +92,13 @@
         }
     }
 
+    /// Delivers a host's result after a random delay below `longest`.
     pub fn schedule_host_result(&mut self, node: usize, longest: Nanos, done: HostResult) {
         let (start, delay) = (self.nodes[node].starts, self.stream.random_range(0..longest));
         self.push(self.now + delay, QueuedEvent::HostDone { node, start, done });
     }
 
+    /// Passes a host's result to the state machine, unless the process has ended; a paused process gets it later.
     pub fn deliver_host_result(&mut self, node: usize, start: u64, done: HostResult) {
         if self.nodes[node].starts != start || self.nodes[node].machine.is_none() {
             return;
--- a/crates/fault-injection/src/configuration/invariants.rs
+++ b/crates/fault-injection/src/configuration/invariants.rs
@@ -1,39 +1,40 @@
-//! What has to hold of the distribution, judged as it happens.
+//! The invariants of the distribution of configuration, checked on every event.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use merlinfold_distribution::{Announcement, Digest, Document, Overview, RevisionId};
 use merlinfold_simulation::{Nanos, SECOND};
 
-/// A confirmed revision is in force at every reachable live node within this.
+/// Time within which a confirmed revision must be in force at every healthy node.
 pub const IN_FORCE_TIMEOUT: Nanos = 12 * SECOND;
-/// Bytes a second of a node on the mean day.
+/// Maximum bytes per second that a node may send on an average day.
 pub const MAX_BYTES_S: f64 = 3_000.0;
-const MAX_VIOLATIONS: usize = 16;
+const MAX_VIOLATIONS: usize = 16; // recorded in one run
 
-/// A law that was broken.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// Name of the invariant.
     pub invariant: &'static str,
-    /// When.
+    /// Virtual time.
     pub at: Nanos,
-    /// How.
+    /// What was observed.
     pub detail: String,
 }
 
-/// All that was seen, as far as laws need it.
+/// The observations that the invariants need, and the violations found.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     committed: BTreeMap<RevisionId, Announcement>,
     digests: BTreeMap<RevisionId, Digest>,
-    floors: BTreeMap<usize, RevisionId>,
+    floors: BTreeMap<usize, RevisionId>, // for each node, the lowest revision that it may apply
     applied: BTreeSet<(usize, RevisionId)>,
     highest: BTreeMap<usize, RevisionId>,
-    /// What was broken.
+    /// Violations, in order of time.
     pub violations: Vec<Violation>,
 }
 
+/// Records a violation, up to [`MAX_VIOLATIONS`].
 impl InvariantChecker {
     fn record_violation(&mut self, invariant: &'static str, at: Nanos, detail: String) {
         if self.violations.len() < MAX_VIOLATIONS {
@@ -41,12 +42,13 @@
         }
     }
 
-    /// The log has agreed on this, or a disk came from where it had been.
+    /// An announcement was committed, or left on a disk by an earlier log.
     pub fn announcement_committed(&mut self, announcement: Announcement) {
         self.committed.insert(announcement.id, announcement);
     }
 
-    /// A document is about to come into force.
+    /// A node is about to apply a document: it must be committed, match its digest and not be lower than the one in
+    /// force.
     pub fn applies(&mut self, now: Nanos, node: usize, document: &Document) {
         let Document { announcement, bytes } = document;
         let id = announcement.id;
@@ -63,10 +65,10 @@
             None => self.record_violation(
                 "committed first",
                 now,
-                format!("n{node} applies {id}, which is not agreed"),
+                format!("n{node} applies {id}, which is not committed"),
             ),
             Some(committed) if committed.digest != digest => {
-                let detail = format!("n{node}: {id} is {digest:?}, announced is {:?}", committed.digest);
+                let detail = format!("n{node}: {id} is {digest:?}, but {:?} was announced", committed.digest);
                 self.record_violation("whole and verified", now, detail);
             }
             Some(_) => {}
@@ -77,7 +79,7 @@
         }
     }
 
-    /// It is in force.
+    /// A revision is in force at a node.
     pub fn applied(&mut self, node: usize, id: RevisionId) {
         self.floors.insert(node, id);
         self.applied.insert((node, id));
@@ -85,45 +87,49 @@
         *highest = id.max(*highest);
     }
 
-    /// A node has set its revision aside by name, or has started again with what its disk held, which may be older.
+    /// A node set its revision aside on request, or restarted with disk contents that may be older.
     pub fn reset_floor(&mut self, node: usize) {
         self.floors.remove(&node);
     }
 
-    /// What an observer counts.
+    /// Checks what an observer reports: `overview` and the revisions that it knows of live nodes must not exceed what
+    /// was applied.
     pub fn overview(
         &mut self, now: Nanos, observer: usize, overview: &Overview, live: &[(usize, Option<RevisionId>)],
     ) {
         for (node, known) in live {
             let Some(known) = known.filter(|known| known.number > 0) else { continue };
             if !self.applied.contains(&(*node, known)) {
-                let detail = format!("n{observer} holds {known} in force at n{node}, which never was");
+                let detail = format!("n{observer} reports {known} in force at n{node}, where it never was");
                 self.record_violation("silence is not applied", now, detail);
             }
         }
         let Some(latest) = overview.latest else { return };
         let has = |node: &usize| self.applied.contains(&(*node, latest));
-        let most = live.iter().filter(|(node, _)| has(node)).count() + usize::from(has(&observer));
-        if overview.applied > most {
-            let detail = format!("n{observer} counts {} at {latest}; {most} ever were", overview.applied);
+        let max = live.iter().filter(|(node, _)| has(node)).count() + usize::from(has(&observer));
+        if overview.applied > max {
+            let detail = format!(
+                "n{observer} counts {} nodes at {latest}, but at most {max} ever had it",
+                overview.applied
+            );
             self.record_violation("silence is not applied", now, detail);
         }
     }
 
-    /// A node that could be reached does not have in time what was confirmed.
-    pub fn missing_after_timeout(&mut self, now: Nanos, node: usize, id: RevisionId, inside: &str) {
-        self.record_violation("in force within 12 s", now, format!("n{node} does not have {id}: {inside}"));
+    /// A healthy node does not have a confirmed revision in time.
+    pub fn missing_after_timeout(&mut self, now: Nanos, node: usize, id: RevisionId, summary: &str) {
+        self.record_violation("in force within 12 s", now, format!("n{node} does not have {id}: {summary}"));
     }
 
-    /// A confirmed revision's content was nowhere to be had at the end.
+    /// The content of a confirmed revision was in force nowhere at the end.
     pub fn content_lost(&mut self, now: Nanos, id: RevisionId) {
-        self.record_violation("confirmed is kept", now, format!("{id} is in force nowhere"));
+        self.record_violation("confirmed is kept", now, format!("{id} is not in force at any node"));
     }
 
-    /// Bytes a second of a node on the mean day.
+    /// Checks the bytes per second of a node on an average day.
     pub fn check_bandwidth(&mut self, now: Nanos, bytes_s: f64) {
         if bytes_s > MAX_BYTES_S {
-            self.record_violation("3 KB/s", now, format!("{bytes_s:.0} bytes a second a node"));
+            self.record_violation("3 KB/s", now, format!("{bytes_s:.0} bytes per second and node"));
         }
     }
 }
--- a/crates/fault-injection/src/configuration/log.rs
+++ b/crates/fault-injection/src/configuration/log.rs
@@ -1,22 +1,22 @@
-//! A model of the agreed log, as far as announcements are concerned.
+//! A model of the replicated log that only covers announcements.
 
 use merlinfold_distribution::{Announcement, ProposalError};
 
-/// One order of announcements, and how much of it each node has heard.
+/// One sequence of announcements, and how much of it each node knows.
 #[derive(Clone, Debug)]
 pub struct ModelLog {
-    /// All that is agreed, in order.
+    /// All committed announcements, in order.
     pub committed: Vec<Announcement>,
-    /// The epoch.
+    /// Epoch of the log.
     pub epoch: u64,
-    indexes: Vec<u64>, // of each of them in the log
+    indexes: Vec<u64>, // log index of each announcement
     next_index: u64,
-    known: Vec<usize>, // by node: how many of them
-    fresh: Vec<bool>,
+    known: Vec<usize>, // for each node, the number of announcements that it knows
+    fresh: Vec<bool>,  // for each node, whether what it knows is confirmed to be current
 }
 
 impl ModelLog {
-    /// An empty one among so many nodes.
+    /// Creates an empty log for this number of nodes.
     pub fn new(nodes: usize) -> Self {
         ModelLog {
             committed: Vec::new(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Agrees on an announcement, where the register still stands there.
+    /// Appends an announcement if the register still has the expected revision.
     pub fn append(&mut self, announcement: Announcement, expect: u64) -> Result<(), ProposalError> {
         if self.committed.last() == Some(&announcement) {
             return Ok(()); // proposed again
@@ -43,36 +43,37 @@
         Ok(())
     }
 
-    /// A majority is lost at once: the log goes on under the next epoch, without its last so many announcements, which
-    /// are told.
-    pub fn recreate_log(&mut self, without: usize) -> Vec<Announcement> {
+    /// Continues the log under the next epoch after the loss of a majority, without its last `without` announcements,
+    /// which are returned.
+    pub fn recreate(&mut self, without: usize) -> Vec<Announcement> {
         self.epoch += 1;
         let retained = self.committed.len().saturating_sub(without);
         self.known.iter_mut().for_each(|known| *known = retained.min(*known));
         self.committed.split_off(retained)
     }
 
-    /// The register's revision of what a node has heard; 0: it has heard of nothing. A place is never used twice.
+    /// Returns the register's revision after the first `known` announcements; 0 if there are none. An index is never
+    /// used twice.
     pub fn value_revision(&self, known: usize) -> u64 {
         known.checked_sub(1).map_or(0, |position| self.indexes[position])
     }
 
-    /// How many announcements a node has heard.
+    /// Returns how many announcements a node knows.
     pub fn known_count(&self, node: usize) -> usize {
         self.known[node]
     }
 
-    /// Whether what a node has heard counts as new.
+    /// Returns whether what a node knows is confirmed to be current.
     pub fn is_fresh(&self, node: usize) -> bool {
         self.fresh[node]
     }
 
-    /// A node has started again and knows nothing.
+    /// Forgets what a node knew before it restarted.
     pub fn reset_node(&mut self, node: usize) {
         (self.known[node], self.fresh[node]) = (0, false);
     }
 
-    /// A node has heard so many; `fresh` where a voter with a majority says so.
+    /// A node learns of the first `count` announcements; `fresh` if a voter with a majority confirmed them.
     pub fn update_known(&mut self, node: usize, count: usize, fresh: bool) {
         self.known[node] = count.min(self.committed.len()).max(self.known[node]);
         self.fresh[node] = fresh;
--- a/crates/fault-injection/src/configuration/mod.rs
+++ b/crates/fault-injection/src/configuration/mod.rs
@@ -1,8 +1,9 @@
-//! Distribution of configuration in virtual time: the product's own machine on modelled links and disks, under one
-//! schedule, with its laws watched at every event.
+//! Simulates the distribution of configuration in virtual time: the product's own state machine on simulated links
+//! and disks, with scheduled faults and with the invariants checked on every event.
 //!
-//! The agreed log is a model ([`log::ModelLog`]): one order of announcements that a majority of the voters has to be up
-//! for, compared before it is set, and heard of by other nodes after a drawn while or from other nodes.
+//! The replicated log is a model ([`log::ModelLog`]): one sequence of announcements. A majority of the voters must be
+//! up to append to it, and an append fails unless the expected revision is current. Nodes learn of announcements
+//! after a random time, from voters or from other nodes.
 
 mod content;
 mod generate;
--- a/crates/fault-injection/src/configuration/node.rs
+++ b/crates/fault-injection/src/configuration/node.rs
@@ -1,4 +1,4 @@
-//! One node of a player: its machine, its disk, and what is wrong with it.
+//! A simulated node: its state machine, its disk, and what is wrong with it.
 
 use std::net::SocketAddr;
 
@@ -12,41 +12,41 @@
 use crate::disk::ModelDisk;
 use crate::scenario::DiskContents;
 
-/// The greatest format that nodes know; those of [`Node::is_old`] know one less.
+/// The latest document format; nodes with [`Node::lacks_latest_format`] only know the one before.
 pub const MAX_FORMAT: u16 = 2;
 
-/// A node and its surroundings.
+/// A node and its environment.
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     pub name: Name,
-    /// Its machine, while the process is up.
+    /// State machine, while the process runs.
     pub machine: Option<Distribution>,
-    /// Whether its processor is stopped.
+    /// Whether the process is suspended.
     pub paused: bool,
-    /// How often it was started.
+    /// Number of starts.
     pub starts: u64,
-    /// For when a tick is scheduled.
+    /// Time of the scheduled tick.
     pub scheduled: Option<Nanos>,
-    /// Its disk.
+    /// Disk of the node.
     pub disk: ModelDisk,
-    /// Since when it is down or paused.
+    /// Since when the node has been down or paused.
     pub down_since: Option<Nanos>,
-    /// Faults that it suffers from now.
+    /// Number of active faults that affect the node.
     pub active_faults: usize,
-    /// When the last of them ended.
+    /// Time at which a fault of the node last began or ended.
     pub healthy_since: Nanos,
-    /// Bytes that earlier processes of it sent.
+    /// Bytes that earlier processes of the node sent.
     pub sent: u64,
-    /// Whether it is of a version that does not know the latest format.
+    /// Whether the node's version does not know the latest format.
     pub lacks_latest_format: bool,
-    /// Whether it damages the pieces that it sends.
+    /// Whether the node damages the content that it sends.
     pub corrupts_pieces: bool,
-    /// A number of which it refuses the revision.
+    /// Number of the revision that the node refuses.
     pub refused_number: Option<u64>,
 }
 
 impl Node {
-    /// One that was never up.
+    /// Creates a node that was never started.
     pub fn new(seed: u64, number: usize) -> Self {
         Node {
             name: format!("n{number}").into(),
@@ -65,23 +65,23 @@
         }
     }
 
-    /// Whether it is up and not paused.
+    /// Returns whether the node runs and is not paused.
     pub fn is_up(&self) -> bool {
         self.machine.is_some() && !self.paused
     }
 
-    /// Whether nothing has been wrong with it since then.
+    /// Returns whether the node runs and had no fault since `since`.
     pub fn is_healthy_since(&self, since: Nanos) -> bool {
         self.is_up() && self.active_faults == 0 && self.healthy_since <= since
     }
 
-    /// The revision in force at it.
+    /// Returns the revision in force at the node.
     pub fn in_force(&self) -> Option<RevisionId> {
         let document = self.machine.as_ref().and_then(Distribution::in_force);
         document.map(|document| document.announcement.id)
     }
 
-    /// Starts a process of it with what the disk holds, and says what it wants done and which revision it found.
+    /// Starts a process with the given disk contents and returns its first actions.
     pub fn start(
         &mut self, scenario: &ConfigurationScenario, number: usize, contents: DiskContents,
         defect: Option<Defect>, now: Nanos,
@@ -95,12 +95,12 @@
         let max_format = MAX_FORMAT - u16::from(self.lacks_latest_format);
         let tuning = Tuning { max_format, disk: scenario.durable_disks, defect, ..Tuning::default() };
         let seed = mix(scenario.base.seed ^ mix(number as u64 + (self.starts << 20)));
-        let mut out = Vec::new();
-        self.machine = Some(Distribution::new(id, tuning, saved, seed, now, &mut out));
-        out
+        let mut actions = Vec::new();
+        self.machine = Some(Distribution::new(id, tuning, saved, seed, now, &mut actions));
+        actions
     }
 
-    /// Its process is gone.
+    /// Ends the node's process.
     pub fn end(&mut self, now: Nanos) {
         if let Some(machine) = self.machine.take() {
             self.sent += machine.sent_bytes();
@@ -110,19 +110,19 @@
     }
 }
 
-/// Where a node hears datagrams.
+/// Returns the address of a node.
 pub fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (node >> 8) as u8, node as u8], 7_947))
 }
 
-/// The node that hears datagrams there.
-pub fn number(at: SocketAddr) -> usize {
+/// Returns the number of the node with this address.
+pub fn node_number(at: SocketAddr) -> usize {
     let SocketAddr::V4(at) = at else { return usize::MAX };
     let [.., high, low] = at.ip().octets();
     usize::from(high) << 8 | usize::from(low)
 }
 
-/// A node as the membership tells of it.
+/// Returns a node as the membership describes it.
 pub fn peer(scenario: &ConfigurationScenario, node: &Node, number: usize, alive: bool) -> Peer {
     Peer {
         name: node.name.clone(),
--- a/crates/fault-injection/src/configuration/observing.rs
+++ b/crates/fault-injection/src/configuration/observing.rs
@@ -1,18 +1,19 @@
-//! Looks at a fleet from outside: what is in force when and where, and what its nodes count.
+//! Observes the fleet from outside: when and where revisions are in force, and what the nodes report about each
+//! other.
 
 use merlinfold_distribution::{Distribution, RevisionId};
 use merlinfold_simulation::{Nanos, SECOND};
 use rand::Rng;
 
-use super::node::{number, Node};
+use super::node::{node_number, Node};
 use super::simulator::{QueuedEvent, RunOutcome, Simulator};
 
-const OBSERVATION_INTERVAL: Nanos = 2 * SECOND; // at what some observers count
+const OBSERVATION_INTERVAL: Nanos = 2 * SECOND; // interval at which a few observers' overviews are checked
 const OBSERVERS: usize = 3;
 const OTHER_TRAFFIC_BYTES_S: f64 = 1_102.0; // membership and log, measured at 300 and 100 nodes
 
 impl Simulator<'_> {
-    /// A revision came into force: how long after its confirmation, where nothing was wrong with the node since.
+    /// Records how long after its confirmation a revision came into force, if the node was healthy since.
     pub fn record_apply_latency(&mut self, node: usize, id: RevisionId) {
         let before = self.nodes[node].in_force();
         let newly = self.publishing.confirmed.range(..=id).filter(|(earlier, _)| Some(**earlier) > before);
@@ -27,15 +28,16 @@
         }
     }
 
-    /// What some observers count.
+    /// Checks the overviews of a few random observers.
     pub fn observe(&mut self) {
         for _ in 0..OBSERVERS {
             let observer = self.stream.random_range(0..self.nodes.len());
             let Some(machine) = &self.nodes[observer].machine else { continue };
             let overview = machine.overview(self.now);
             let others = machine.peers().iter().filter(|peer| peer.alive);
-            let live: Vec<_> =
-                others.map(|peer| (number(peer.address), machine.known_at(self.now, &peer.name))).collect();
+            let live: Vec<_> = others
+                .map(|peer| (node_number(peer.address), machine.known_at(self.now, &peer.name)))
+                .collect();
             if self.now > 60 * SECOND {
                 self.observed_members.0 += overview.live;
                 self.observed_members.1 += overview.unknown.count;
@@ -45,13 +47,14 @@
         self.push(self.now + OBSERVATION_INTERVAL, QueuedEvent::Observe);
     }
 
-    /// Whether what was confirmed by then is in force at a node, or at all, where nothing was wrong since.
+    /// Checks that everything confirmed at `since` is in force at `node`, or at all nodes without one, as far as the
+    /// nodes and a majority of the voters were healthy since.
     pub fn check(&mut self, node: Option<usize>, since: Nanos) {
         let latest =
             self.publishing.confirmed.iter().filter(|(_, at)| **at <= since).map(|(id, _)| *id).max();
         let voters = self.nodes[..self.scenario.voters].iter();
-        let standing = voters.filter(|voter| voter.is_healthy_since(since)).count();
-        let Some(latest) = latest.filter(|_| 2 * standing > self.scenario.voters) else { return };
+        let healthy_voters = voters.filter(|voter| voter.is_healthy_since(since)).count();
+        let Some(latest) = latest.filter(|_| 2 * healthy_voters > self.scenario.voters) else { return };
         if self.publishing.is_lost(latest) {
             return;
         }
@@ -66,11 +69,12 @@
             if refused.is_some_and(|(id, _)| id >= latest) {
                 continue;
             }
-            let inside = machine.inside();
-            self.checker.missing_after_timeout(self.now, node, latest, &inside);
+            let summary = machine.inside();
+            self.checker.missing_after_timeout(self.now, node, latest, &summary);
         }
     }
 
+    /// Makes the final checks and returns the outcome.
     pub fn finish(mut self, end: Nanos) -> RunOutcome {
         let now = self.now;
         let latest = self.publishing.confirmed.keys().max().copied();
@@ -86,7 +90,7 @@
         self.outcome.bytes_s = all as f64 / self.nodes.len() as f64 / seconds;
         let voters = self.nodes[..self.scenario.voters].iter().map(sent).max().unwrap_or_default();
         self.outcome.voter_bytes_s = voters as f64 / seconds;
-        if self.scenario.kind.is_mean_day() {
+        if self.scenario.kind.is_average_day() {
             self.checker.check_bandwidth(now, self.outcome.bytes_s + OTHER_TRAFFIC_BYTES_S);
         }
         self.outcome.unknown_share = self.observed_members.1 as f64 / self.observed_members.0.max(1) as f64;
--- a/crates/fault-injection/src/configuration/publishing.rs
+++ b/crates/fault-injection/src/configuration/publishing.rs
@@ -1,4 +1,4 @@
-//! Who publishes what when, and what the modelled log does with it.
+//! Publishes revisions, and simulates how the log commits them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,16 +20,17 @@
 use crate::scenario::DiskContents;
 use crate::schedule::StepAction;
 
-const SMALL_DOCUMENT_BYTES: usize = 12_000; // bytes of a document
-const LARGE_DOCUMENT_BYTES: usize = 1_500_000; // the same with 30,000 tenants
-const DELTA_BYTES: std::ops::Range<usize> = 40..600; // bytes of a usual delta
+const SMALL_DOCUMENT_BYTES: usize = 12_000; // length of a document
+const LARGE_DOCUMENT_BYTES: usize = 1_500_000; // length of a document with 30,000 tenants
+const DELTA_BYTES: std::ops::Range<usize> = 40..600; // length of a usual delta
 const BURST_REVISIONS: usize = 100;
 const PUBLISH_UNTIL: Nanos = 40 * SECOND;
-const AVERAGE_DAY_INTERVAL: std::ops::Range<Nanos> = 33 * SECOND..99 * SECOND; // between two of 1,300 a day
-const COMMIT_TIMEOUT: Nanos = 10 * SECOND; // until the log gives up
+/// Time between two publications at 1,300 a day.
+const AVERAGE_DAY_INTERVAL: std::ops::Range<Nanos> = 33 * SECOND..99 * SECOND;
+const COMMIT_TIMEOUT: Nanos = 10 * SECOND; // until the log reports that it cannot confirm
 const COMMIT_RETRY_INTERVAL: Nanos = 500 * MS;
 
-/// A proposal on its way.
+/// A proposal that the log has not decided yet.
 pub struct Commit {
     node: usize,
     start: u64,
@@ -39,24 +40,24 @@
     until: Nanos,
 }
 
-/// What was published so far.
+/// The publications so far.
 #[derive(Default)]
 pub struct Publishing {
-    /// When each confirmed revision was.
+    /// When each confirmed revision was confirmed.
     pub confirmed: BTreeMap<RevisionId, Nanos>,
-    /// Nodes that a rule of links troubles.
+    /// Nodes that each active link rule affects.
     pub rules: BTreeMap<usize, Vec<usize>>,
     tickets: Ticket,
     burst: usize,
-    killed: BTreeMap<usize, Nanos>, // voters that were killed, and when last
-    lost: Option<RevisionId>, // the content of revisions up to this may be lost: a majority did not stand
+    killed: BTreeMap<usize, Nanos>, // for each voter that was killed or stopped, when that last happened
+    lost: Option<RevisionId>, // content up to this revision may be lost, because half of the voters or more restarted
     restarted: bool,
-    failures: usize, // in a row, for want of the latest content
+    failures: usize, // in a row, because the publisher lacks the latest content
 }
 
 impl Publishing {
-    /// A node was killed or stopped. Where it and others make a majority of the voters within the time in which content
-    /// spreads, what was confirmed in that time may be lost.
+    /// Records that a node was killed or stopped. If that happens to at least half of the voters within the time that
+    /// content takes to spread, the content confirmed so far may be lost.
     pub fn killed(&mut self, now: Nanos, node: usize, voters: usize) {
         if node >= voters {
             return;
@@ -68,31 +69,33 @@
         }
     }
 
-    /// Whether the content of a revision may be lost by rights.
+    /// Returns whether the content of a revision may be lost without violating an invariant.
     pub fn is_lost(&self, id: RevisionId) -> bool {
         self.lost >= Some(id)
     }
 }
 
 impl Simulator<'_> {
-    /// What stands there before the first start.
+    /// Sets up the nodes and disks that this kind of scenario needs before the first start.
     pub fn prepare(&mut self) {
         let count = self.nodes.len();
         let voters = self.scenario.voters;
         let others: Vec<usize> = (voters + 1..count).collect();
-        let mut some = others.clone();
-        some.shuffle(&mut self.stream);
-        some.truncate(count / 5);
+        let mut affected = others.clone();
+        affected.shuffle(&mut self.stream);
+        affected.truncate(count / 5);
         match self.scenario.kind {
-            ScenarioKind::Corrupt => some.iter().for_each(|node| self.nodes[*node].corrupts_pieces = true),
+            ScenarioKind::Corrupt => {
+                affected.iter().for_each(|node| self.nodes[*node].corrupts_pieces = true)
+            }
             ScenarioKind::Refused => {
-                for (place, node) in some.into_iter().enumerate() {
-                    self.nodes[node].lacks_latest_format = place % 2 == 0;
-                    self.nodes[node].refused_number = (place % 2 == 1).then_some(3);
+                for (index, node) in affected.into_iter().enumerate() {
+                    self.nodes[node].lacks_latest_format = index % 2 == 0;
+                    self.nodes[node].refused_number = (index % 2 == 1).then_some(3);
                 }
             }
             ScenarioKind::LaterDisk if self.scenario.durable_disks => {
-                if let Some(node) = some.first() {
+                if let Some(node) = affected.first() {
                     self.leave_later_disk(*node);
                 }
             }
@@ -100,7 +103,7 @@
         }
     }
 
-    /// A disk with a revision of an epoch that is yet to come.
+    /// Leaves a revision of a future epoch on a node's disk.
     fn leave_later_disk(&mut self, node: usize) {
         let bytes: Arc<[u8]> = document(&mut self.stream, SMALL_DOCUMENT_BYTES).into();
         let announcement = Announcement {
@@ -113,21 +116,21 @@
         self.checker.announcement_committed(announcement);
         let node_state = &self.nodes[node];
         let saved = Write::InForce(Document { announcement, bytes }).save(&node_state.disk, &node_state.name);
-        debug_assert!(saved.is_ok(), "nothing is wrong with the disk yet");
+        debug_assert!(saved.is_ok(), "the disk has no fault before the first start");
     }
 
-    /// The next publication, and when the one after it is due.
+    /// Publishes a revision and schedules the next publication.
     pub fn publish(&mut self) {
         let kind = self.scenario.kind;
-        if !kind.is_mean_day() && self.now > PUBLISH_UNTIL {
+        if !kind.is_average_day() && self.now > PUBLISH_UNTIL {
             return;
         }
-        let among = (self.scenario.voters + 2).min(self.nodes.len());
-        let node = self.stream.random_range(0..among);
+        let publishers = (self.scenario.voters + 2).min(self.nodes.len());
+        let node = self.stream.random_range(0..publishers);
         self.publish_at(node);
         if kind == ScenarioKind::Faults && self.stream.random_range(0..4) == 0 {
-            let other = self.stream.random_range(0..among);
-            self.publish_at(other); // two publishers at once
+            let other = self.stream.random_range(0..publishers);
+            self.publish_at(other); // two publishers at the same time
         }
         if kind == ScenarioKind::Burst && self.now >= 8 * SECOND && self.publishing.burst == 0 {
             self.publishing.burst = BURST_REVISIONS;
@@ -142,6 +145,7 @@
         self.push(self.now + pause, QueuedEvent::Publish);
     }
 
+    /// Publishes a revision on top of the one that the node has, if it is up.
     pub fn publish_at(&mut self, node: usize) {
         if !self.nodes[node].is_up() {
             return;
@@ -151,7 +155,7 @@
         let number = stored.as_ref().map_or(0, |stored| stored.announcement.id.number);
         let large = self.scenario.kind == ScenarioKind::Large;
         let length = if large { LARGE_DOCUMENT_BYTES } else { SMALL_DOCUMENT_BYTES };
-        let (whole, delta) = match &stored {
+        let (document_bytes, delta) = match &stored {
             None => (document(&mut self.stream, length), None),
             Some(stored) => {
                 let changed = if large && number == 2 {
@@ -161,24 +165,25 @@
                 };
                 let bytes: Arc<[u8]> = patch(&mut self.stream, number, length, changed).into();
                 let delta = Delta { base: number, number: number + 1, bytes: bytes.clone() };
-                let Ok(whole) = compose(&stored.bytes, &[delta]) else { return };
-                (whole, Some(bytes))
+                let Ok(document_bytes) = compose(&stored.bytes, &[delta]) else { return };
+                (document_bytes, Some(bytes))
             }
         };
-        self.outcome.max_document_bytes = self.outcome.max_document_bytes.max(whole.len());
+        self.outcome.max_document_bytes = self.outcome.max_document_bytes.max(document_bytes.len());
         self.publishing.tickets += 1;
         let format = if self.scenario.kind == ScenarioKind::Refused && number == 4 { MAX_FORMAT } else { 1 };
         let publication = Publication {
             ticket: self.publishing.tickets,
             base: stored.map(|stored| stored.announcement.id),
             format,
-            document: whole.into(),
+            document: document_bytes.into(),
             delta,
             over_missing: self.publishing.failures > 6,
         };
         self.handle_event(node, Event::Publish(publication));
     }
 
+    /// Records the outcome of a publication; during a burst, a failed one is tried again.
     pub fn published(&mut self, node: usize, _ticket: Ticket, outcome: Result<RevisionId, PublishError>) {
         self.line(Some(node), || format!("published: {outcome:?}"));
         match &outcome {
@@ -197,28 +202,31 @@
         }
     }
 
-    /// Whether a voter reaches a majority of the voters.
+    /// Returns whether a node is a voter that reaches a majority of the voters.
     pub fn has_majority(&self, node: usize) -> bool {
         let voters = self.scenario.voters;
-        let reached = (0..voters).filter(|other| self.nodes[*other].is_up() && self.reach(node, *other));
+        let reached =
+            (0..voters).filter(|other| self.nodes[*other].is_up() && self.can_communicate(node, *other));
         node < voters && 2 * reached.count() > voters
     }
 
+    /// Sends a proposal to the log.
     pub fn propose(&mut self, node: usize, ticket: Ticket, announcement: Announcement, expect: u64) {
         let (start, until) = (self.nodes[node].starts, self.now + COMMIT_TIMEOUT);
-        let way = self.stream.random_range(4 * MS..30 * MS);
+        let delay = self.stream.random_range(4 * MS..30 * MS);
         let commit = Commit { node, start, ticket, announcement, expect, until };
-        self.push(self.now + way, QueuedEvent::Commit(commit));
+        self.push(self.now + delay, QueuedEvent::Commit(commit));
     }
 
-    /// A proposal is agreed on if a majority of the voters is there.
+    /// Commits a proposal if a majority of the voters can be reached, and tries again until the timeout otherwise.
     pub fn commit(&mut self, commit: Commit) {
         let Commit { node, start, ticket, announcement, expect, until } = commit;
         if self.nodes[node].starts != start || self.nodes[node].machine.is_none() {
-            return; // nobody sends it again
+            return; // the proposing process has ended, so nobody sends it again
         }
         let voters = 0..self.scenario.voters;
-        let leader = voters.clone().find(|voter| self.reach(node, *voter) && self.has_majority(*voter));
+        let leader =
+            voters.clone().find(|voter| self.can_communicate(node, *voter) && self.has_majority(*voter));
         let Some(leader) = leader.filter(|leader| self.nodes[*leader].is_up() && self.nodes[node].is_up())
         else {
             if self.now >= until {
@@ -236,12 +244,15 @@
                 first.insert(self.now);
                 self.push(self.now + IN_FORCE_TIMEOUT, QueuedEvent::Check { node: None, since: self.now });
             }
-            self.line(Some(node), || format!("{} is agreed", announcement.id));
+            self.line(Some(node), || format!("{} is committed", announcement.id));
             let count = self.log.committed.len();
-            let reached: Vec<usize> = voters.filter(|voter| self.reach(leader, *voter)).collect();
+            let reached: Vec<usize> = voters.filter(|voter| self.can_communicate(leader, *voter)).collect();
             for voter in reached {
-                let (start, way) = (self.nodes[voter].starts, self.stream.random_range(2 * MS..60 * MS));
-                self.push(self.now + way, QueuedEvent::LogUpdate { node: voter, start, count, fresh: true });
+                let (start, delay) = (self.nodes[voter].starts, self.stream.random_range(2 * MS..60 * MS));
+                self.push(
+                    self.now + delay,
+                    QueuedEvent::LogUpdate { node: voter, start, count, fresh: true },
+                );
             }
             self.inject_publication_fault(node, leader);
         }
@@ -255,7 +266,7 @@
         }
     }
 
-    /// All voters end at once and the log is founded anew by them.
+    /// Kills all voters at once; they restart and found a new log, without up to two of its last announcements.
     pub fn recreate_log(&mut self) {
         for voter in 0..self.scenario.voters {
             self.push(self.now, QueuedEvent::ExtraStep(StepAction::Kill(voter)));
@@ -265,15 +276,15 @@
             );
         }
         let without = self.stream.random_range(0..3);
-        for lost in self.log.recreate_log(without) {
+        for lost in self.log.recreate(without) {
             self.line(None, || format!("the log has lost {}", lost.id));
             self.publishing.confirmed.remove(&lost.id);
         }
     }
 
-    /// What fails between a confirmation and its spread.
+    /// Kills nodes between a confirmation and the spread of its content, if this kind of scenario does so.
     fn inject_publication_fault(&mut self, node: usize, leader: usize) {
-        let struck: Vec<usize> = match self.scenario.kind {
+        let killed: Vec<usize> = match self.scenario.kind {
             ScenarioKind::LeaderKilled if self.stream.random::<bool>() => {
                 [node, leader].into_iter().collect::<BTreeSet<usize>>().into_iter().collect()
             }
@@ -288,10 +299,10 @@
             }
             _ => return,
         };
-        for struck in struck.into_iter().filter(|node| self.nodes[*node].is_up()).collect::<Vec<_>>() {
+        for killed in killed.into_iter().filter(|node| self.nodes[*node].is_up()).collect::<Vec<_>>() {
             let at = self.now + self.stream.random_range(0..20 * MS);
-            self.push(at, QueuedEvent::ExtraStep(StepAction::Kill(struck)));
-            self.push(at + 3 * SECOND, QueuedEvent::ExtraStep(StepAction::Start(struck, DiskContents::Kept)));
+            self.push(at, QueuedEvent::ExtraStep(StepAction::Kill(killed)));
+            self.push(at + 3 * SECOND, QueuedEvent::ExtraStep(StepAction::Start(killed, DiskContents::Kept)));
         }
     }
 }
--- a/crates/fault-injection/src/configuration/simulator.rs
+++ b/crates/fault-injection/src/configuration/simulator.rs
@@ -1,4 +1,4 @@
-//! Plays one world.
+//! Runs one scenario of the distribution of configuration.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -19,50 +19,52 @@
 use crate::schedule::{nanos, steps, Step, StepAction};
 
 const VIEW_INTERVAL: Nanos = 500 * MS;
-const VIEW_DELAY: Nanos = 1_200 * MS; // until a death is known, as the membership takes at 300 nodes
-const POLL_INTERVAL: Nanos = SECOND; // of the log, as its followers pull
+const VIEW_DELAY: Nanos = 1_200 * MS; // until nodes learn of a death, as long as the membership takes at 300 nodes
+const POLL_INTERVAL: Nanos = SECOND; // average interval at which followers fetch from the log
 const SHUTDOWN_TIME: Nanos = 300 * MS;
 
-/// A fleet and what happens to it.
+/// A fleet with a distributed configuration, and its faults.
 #[derive(Clone, Debug)]
 pub struct ConfigurationScenario {
     /// Nodes, links and faults.
     pub base: Scenario,
-    /// What is published, and what fails with it.
+    /// What is published, and which failures accompany it.
     pub kind: ScenarioKind,
-    /// How many nodes, from the first on, vote in the log.
+    /// Number of nodes, from the first on, that vote in the log.
     pub voters: usize,
-    /// Whether disks last.
+    /// Whether nodes store the configuration on disks.
     pub durable_disks: bool,
 }
 
-/// What came of it.
+/// Outcome of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunOutcome {
-    /// Laws that were broken.
+    /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Revisions confirmed.
+    /// Number of confirmed revisions.
     pub confirmed: usize,
-    /// Publications that failed, by reason.
+    /// Number of failed publications by reason.
     pub failed_publications: BTreeMap<String, usize>,
-    /// From a confirmation to the revision in force at an untroubled node.
+    /// Times from a confirmation until the revision was in force at a healthy node.
     pub apply_latencies: Vec<Nanos>,
-    /// The same to the last of them, by revision.
+    /// For each revision, the longest such time.
     pub slowest_apply_latencies: Vec<Nanos>,
-    /// Bytes a second that each node sent, on the mean.
+    /// Bytes per second that a node sent, averaged over the nodes.
     pub bytes_s: f64,
-    /// Bytes a second of the voter that sent most.
+    /// Bytes per second of the voter that sent most.
     pub voter_bytes_s: f64,
-    /// The longest document.
+    /// Length of the longest document in bytes.
     pub max_document_bytes: usize,
-    /// Members unknown on the mean, a share, where somebody looked after the first minute.
+    /// Average share of members whose revision an observer did not know, after the first minute.
     pub unknown_share: f64,
-    /// Notes that tell of something wrong, by kind.
+    /// Number of notes about errors, by kind.
     pub notes: BTreeMap<&'static str, usize>,
-    /// What happened, a line each.
+    /// Event log, if it was recorded.
     pub lines: Vec<String>,
 }
 
+/// An event of the simulation. Events of a process carry the number of its start, and are ignored after another
+/// start.
 pub(super) enum QueuedEvent {
     Step(usize),
     ExtraStep(StepAction),
@@ -81,6 +83,8 @@
     Check { node: Option<usize>, since: Nanos },
 }
 
+/// The state of a simulation. `queue` orders the slots of `events` by time and sequence number; `free` are unused
+/// slots.
 pub(super) struct Simulator<'a> {
     pub scenario: &'a ConfigurationScenario,
     pub nodes: Vec<Node>,
@@ -95,14 +99,15 @@
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
     events: Vec<Option<QueuedEvent>>,
     free: Vec<usize>,
-    next: u64,
+    next_sequence: u64,
     view_changed: Nanos,
     pub slowest: BTreeMap<RevisionId, Nanos>,
-    pub observed_members: (usize, usize), // members seen, and those of them unknown
+    pub observed_members: (usize, usize), // members seen, and how many of them were unknown
     record_lines: bool,
 }
 
-/// Plays a world; `defect` stands in every node. The same world gives the same.
+/// Runs a scenario in virtual time; `defect` is planted in every node. The same scenario gives the same outcome.
+/// `record_lines` enables the event log.
 pub fn simulate(
     scenario: &ConfigurationScenario, defect: Option<Defect>, record_lines: bool,
 ) -> Result<RunOutcome, String> {
@@ -124,7 +129,7 @@
         queue: BinaryHeap::new(),
         events: Vec::new(),
         free: Vec::new(),
-        next: 0,
+        next_sequence: 0,
         view_changed: 0,
         slowest: BTreeMap::new(),
         observed_members: (0, 0),
@@ -135,8 +140,8 @@
         simulator.start(node, DiskContents::Kept);
         simulator.push(node as Nanos * MS, QueuedEvent::Poll(node));
     }
-    for (place, step) in steps.iter().enumerate() {
-        simulator.push(step.at, QueuedEvent::Step(place));
+    for (index, step) in steps.iter().enumerate() {
+        simulator.push(step.at, QueuedEvent::Step(index));
     }
     simulator.push(0, QueuedEvent::UpdateViews);
     simulator.push(2 * SECOND, QueuedEvent::Publish);
@@ -150,21 +155,23 @@
 }
 
 impl Simulator<'_> {
+    /// Schedules an event.
     pub fn push(&mut self, at: Nanos, event: QueuedEvent) {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
         });
         self.events[slot] = Some(event);
-        self.next += 1;
-        self.queue.push(Reverse((at, self.next, slot)));
+        self.next_sequence += 1;
+        self.queue.push(Reverse((at, self.next_sequence, slot)));
     }
 
-    pub fn line(&mut self, node: Option<usize>, what: impl FnOnce() -> String) {
+    /// Adds a line to the event log if it is recorded.
+    pub fn line(&mut self, node: Option<usize>, text: impl FnOnce() -> String) {
         if self.record_lines {
             let at = self.now as f64 / SECOND as f64;
             let node = node.map_or(String::new(), |node| format!(" n{node}"));
-            self.outcome.lines.push(format!("{at:9.3}{node} {}", what()));
+            self.outcome.lines.push(format!("{at:9.3}{node} {}", text()));
         }
     }
 
@@ -177,7 +184,7 @@
             self.free.push(slot);
             let Some(event) = self.events[slot].take() else { continue };
             match event {
-                QueuedEvent::Step(place) => self.step(&steps[place].action),
+                QueuedEvent::Step(index) => self.step(&steps[index].action),
                 QueuedEvent::ExtraStep(action) => self.step(&action),
                 QueuedEvent::Deliver { from, to, bytes } => self.deliver(from, to, &bytes),
                 QueuedEvent::Tick(node) => {
@@ -260,7 +267,8 @@
         }
     }
 
-    /// A fault of a node begins or ends; what was confirmed before its end must be in force soon after.
+    /// Counts a fault of a node that begins or ends. After the end of the last one, everything confirmed before must
+    /// soon be in force at the node.
     fn mark_fault(&mut self, node: usize, begins: bool) {
         let node_state = &mut self.nodes[node];
         node_state.active_faults =
@@ -271,32 +279,35 @@
         }
     }
 
+    /// Starts a process with the given disk contents.
     fn start(&mut self, node: usize, contents: DiskContents) {
         let (scenario, defect, now) = (self.scenario, self.defect, self.now);
         self.checker.reset_floor(node);
         self.log.reset_node(node);
-        let out = self.nodes[node].start(scenario, node, contents, defect, now);
-        self.perform_actions(node, out);
+        let actions = self.nodes[node].start(scenario, node, contents, defect, now);
+        self.perform_actions(node, actions);
         let peers = self.peers(node);
         self.handle_event(node, Event::Peers(peers));
     }
 
-    /// How a node sees the others: what is cut off or down is known to be so after a while.
+    /// Returns the membership as a node sees it: nodes that are down are known to be dead after [`VIEW_DELAY`], and
+    /// cut links at the next update of the views.
     fn peers(&self, observer: usize) -> Vec<Peer> {
         let alive = |n: usize| {
             let dead = self.nodes[n].down_since.is_some_and(|since| self.now >= since + VIEW_DELAY);
-            n == observer || !dead && self.reach(n, observer)
+            n == observer || !dead && self.can_communicate(n, observer)
         };
         (0..self.nodes.len()).map(|n| peer(self.scenario, &self.nodes[n], n, alive(n))).collect()
     }
 
-    /// Whether datagrams pass both ways.
-    pub fn reach(&self, one: usize, other: usize) -> bool {
+    /// Returns whether datagrams pass in both directions.
+    pub fn can_communicate(&self, one: usize, other: usize) -> bool {
         one == other || !self.links.is_cut(one, other) && !self.links.is_cut(other, one)
     }
 
+    /// Gives every running node its view of the membership.
     fn update_views(&mut self) {
-        // Views are what they were unless something has happened of late.
+        // Views only change for a while after a step of the schedule.
         if self.now <= self.view_changed + VIEW_DELAY + VIEW_INTERVAL {
             for node in 0..self.nodes.len() {
                 if self.nodes[node].is_up() {
@@ -308,42 +319,43 @@
         self.push(self.now + VIEW_INTERVAL, QueuedEvent::UpdateViews);
     }
 
-    /// A node asks a voter or another node how far the log is.
+    /// A node asks a voter or another node for the state of the log.
     fn poll(&mut self, node: usize) {
-        let more = self.stream.random_range(0..POLL_INTERVAL);
-        self.push(self.now + POLL_INTERVAL / 2 + more, QueuedEvent::Poll(node));
+        let jitter = self.stream.random_range(0..POLL_INTERVAL);
+        self.push(self.now + POLL_INTERVAL / 2 + jitter, QueuedEvent::Poll(node));
         if !self.nodes[node].is_up() {
             return;
         }
-        let among = if self.stream.random::<bool>() { self.scenario.voters } else { self.nodes.len() };
-        let source = self.stream.random_range(0..among);
+        let candidates = if self.stream.random::<bool>() { self.scenario.voters } else { self.nodes.len() };
+        let source = self.stream.random_range(0..candidates);
         let mut fresh = false;
         let mut count = self.log.known_count(node);
         if self.has_majority(node) {
             (count, fresh) = (self.log.committed.len(), true);
-        } else if self.nodes[source].is_up() && self.reach(node, source) {
+        } else if self.nodes[source].is_up() && self.can_communicate(node, source) {
             let voter = self.has_majority(source);
-            // A node that has just started may hear of an old state from another one.
-            let old = if count == 0 { self.stream.random_range(0..3) } else { 0 };
+            // A node that has just started may get an old state from another node.
+            let lag = if count == 0 { self.stream.random_range(0..3) } else { 0 };
             count = if voter {
                 self.log.committed.len()
             } else {
-                self.log.known_count(source).saturating_sub(old)
+                self.log.known_count(source).saturating_sub(lag)
             };
             fresh = voter || self.log.is_fresh(source) && source != node;
         }
         let start = self.nodes[node].starts;
-        let way = self.stream.random_range(MS..5 * MS);
-        self.push(self.now + way, QueuedEvent::LogUpdate { node, start, count, fresh });
+        let transit = self.stream.random_range(MS..5 * MS);
+        self.push(self.now + transit, QueuedEvent::LogUpdate { node, start, count, fresh });
     }
 
+    /// Tells a node's state machine what the node knows of the log.
     fn send_log_state(&mut self, node: usize) {
         let known = self.log.known_count(node);
         let state = LogState {
             epoch: self.log.epoch,
             value_revision: self.log.value_revision(known),
             fresh: self.log.is_fresh(node),
-            announcement: known.checked_sub(1).map(|place| self.log.committed[place]),
+            announcement: known.checked_sub(1).map(|index| self.log.committed[index]),
         };
         self.handle_event(node, Event::Log(state));
     }
--- a/crates/fault-injection/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that knows what is durable and loses the rest at a crash.
+//! A simulated disk that tracks what is durable and loses the rest at a crash.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,15 +15,15 @@
 
 #[derive(Clone, Debug, Default)]
 struct State {
-    visible: BTreeMap<String, (Content, bool)>, // as a running process reads it, and whether the content is durable
-    durable: BTreeMap<String, Content>,         // as a crash leaves it
-    before: BTreeMap<String, Content>,          // the same at the start before
-    at_start: BTreeMap<String, Content>,
+    visible: BTreeMap<String, (Content, bool)>, // as the running process reads it, and whether the content is durable
+    durable: BTreeMap<String, Content>,         // what remains after a crash
+    contents_before_last_start: BTreeMap<String, Content>, // what the last start but one found
+    contents_at_start: BTreeMap<String, Content>, // what the last start found
     fault: Option<DiskFault>,
 }
 
-/// A modelled disk. What was not synced is torn at a drawn byte by a crash; a rename whose folder was not synced may
-/// or may not have happened.
+/// A simulated disk. A crash truncates content that was not synced at a random byte; a rename whose folder was not
+/// synced may or may not have happened.
 #[derive(Clone, Debug)]
 pub struct ModelDisk {
     state: RefCell<State>,
@@ -31,17 +31,17 @@
 }
 
 impl ModelDisk {
-    /// An empty one.
+    /// Creates an empty disk. `seed` and `number` determine its random choices.
     pub fn new(seed: u64, number: u64) -> Self {
         ModelDisk { state: RefCell::default(), stream: RefCell::new(Seed(seed).stream("disk", number)) }
     }
 
-    /// From now on it does this wrong, or nothing.
+    /// Sets or clears the disk's fault.
     pub fn set_fault(&self, fault: Option<DiskFault>) {
         self.state.borrow_mut().fault = fault;
     }
 
-    /// How long so many steps take.
+    /// Returns how long `steps` operations take: nothing, except on a slow disk.
     pub fn operation_delay(&self, steps: usize) -> Nanos {
         match self.state.borrow().fault {
             Some(DiskFault::Slow) => {
@@ -51,32 +51,33 @@
         }
     }
 
-    /// The machine ends without a word.
+    /// Simulates a crash of the machine: whatever is not durable may be lost.
     pub fn crash(&self) {
         let mut state = self.state.borrow_mut();
         let mut stream = self.stream.borrow_mut();
-        let mut left = state.durable.clone();
+        let mut remaining = state.durable.clone();
         for (name, (content, synced)) in &state.visible {
             if state.durable.get(name) == Some(content) {
                 continue;
             }
-            // The name may have reached the disk without the folder's sync; the content only as far as it got.
+            // The name may have reached the disk without a sync of the folder; unsynced content only in part.
             if stream.random::<bool>() {
-                let whole = if *synced { content.len() } else { stream.random_range(0..=content.len()) };
-                left.insert(name.clone(), content[..whole].to_vec());
+                let length = if *synced { content.len() } else { stream.random_range(0..=content.len()) };
+                remaining.insert(name.clone(), content[..length].to_vec());
             }
         }
-        state.visible = left.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
-        state.durable = left;
+        state.visible =
+            remaining.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
+        state.durable = remaining;
     }
 
-    /// What the next start finds. `other` is the disk of another node.
+    /// Sets what the next start finds. `other` is the disk of another node, for [`DiskContents::Foreign`].
     pub fn start(&self, contents: DiskContents, other: Option<&ModelDisk>) {
         let mut state = self.state.borrow_mut();
         let mut stream = self.stream.borrow_mut();
         let mut stored = match contents {
             DiskContents::Empty => BTreeMap::new(),
-            DiskContents::Yesterday => state.before.clone(),
+            DiskContents::Yesterday => state.contents_before_last_start.clone(),
             DiskContents::Foreign => {
                 other.map(|disk| disk.state.borrow().durable.clone()).unwrap_or_default()
             }
@@ -90,7 +91,7 @@
                 _ => {}
             }
         }
-        state.before = std::mem::replace(&mut state.at_start, stored.clone());
+        state.contents_before_last_start = std::mem::replace(&mut state.contents_at_start, stored.clone());
         state.visible =
             stored.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
         state.durable = stored;
@@ -158,7 +159,7 @@
         let state = &mut *state;
         let old = std::mem::take(&mut state.durable);
         for (name, (content, synced)) in &state.visible {
-            // A name is durable now; its content only if it was synced.
+            // The name becomes durable now, the content only if it was synced.
             let content = if *synced { content.clone() } else { old.get(name).cloned().unwrap_or_default() };
             state.durable.insert(name.clone(), content);
         }
--- a/crates/fault-injection/src/faulty_node.rs
+++ b/crates/fault-injection/src/faulty_node.rs
@@ -1,23 +1,23 @@
-//! Nodes with one defect each, by which the laws are shown to catch something. They are the product's machine behind
-//! a filter: the product itself has no switch for them.
+//! Nodes with one planted defect each, which show that the invariants detect something. A faulty node is the
+//! product's membership state machine behind a filter: the product itself has no switch for these defects.
 
 use merlinfold_membership::{encode, read, Name, Record, Status, Tuning, Writer};
 
-/// What a double does wrong.
+/// The planted defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultyNode {
-    /// Never suspects anybody.
+    /// Never suspects another node.
     Trusting,
-    /// Does not contradict what is told of it.
+    /// Does not refute accusations against itself.
     Silent,
-    /// Takes members of other fleets for its own.
+    /// Accepts members of other fleets into its own.
     Merging,
-    /// Its store leaves out to make files durable.
+    /// Reports files as durable without syncing them.
     Unsynced,
 }
 
 impl FaultyNode {
-    /// Every one, and the law that has to catch it.
+    /// Every defect, with the name of the invariant that must detect it.
     pub const ALL: [(FaultyNode, &'static str); 4] = [
         (FaultyNode::Trusting, "detection"),
         (FaultyNode::Silent, "no false death"),
@@ -25,7 +25,7 @@
         (FaultyNode::Unsynced, "starts only rise"),
     ];
 
-    /// The times it works by.
+    /// Returns the membership timing that a node with this defect uses.
     pub fn tuning(self, tuning: Tuning) -> Tuning {
         match self {
             FaultyNode::Trusting => Tuning { answer_within: u64::MAX / 64, ..tuning },
@@ -33,13 +33,15 @@
         }
     }
 
-    /// What it hears of a datagram.
+    /// Returns the datagram as the faulty membership receives it: without the records that the defect ignores, and,
+    /// for [`FaultyNode::Merging`], with the cluster number replaced by `own`. `me` is the node's name and `clusters`
+    /// are all cluster numbers under which a datagram may be readable.
     pub fn filter_datagram(self, me: &Name, own: u64, clusters: &[u64], bytes: Vec<u8>) -> Vec<u8> {
         let Some((mut envelope, records)) = clusters.iter().find_map(|&cluster| read(cluster, &bytes).ok())
         else {
             return bytes;
         };
-        let keeps = |record: &Record| match self {
+        let is_passed_on = |record: &Record| match self {
             FaultyNode::Trusting => !matches!(record.status, Status::Suspect { .. } | Status::Dead),
             FaultyNode::Silent => record.name != *me,
             FaultyNode::Merging | FaultyNode::Unsynced => true,
@@ -48,8 +50,8 @@
             envelope.cluster = own;
         }
         let mut writer = Writer::new(&envelope);
-        for record in records.iter().filter(|record| keeps(record)) {
-            let _ = writer.add(&encode(record)); // it had room before
+        for record in records.iter().filter(|record| is_passed_on(record)) {
+            let _ = writer.add(&encode(record)); // the records fitted into the original datagram
         }
         writer.finish()
     }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,12 +1,13 @@
-//! Trials of a whole fleet: what fails between its processes, by one schedule on two clocks, and the laws that have
-//! to hold all the while.
+//! Fault injection for a whole fleet: a scenario schedules faults of the processes, links and disks of a fleet, and
+//! invariants are checked while it runs.
 //!
-//! A [`Trial`] says how large the fleet is, how its network is and what fails when. Its seed draws it into timed
-//! [`schedule::Step`]s. [`virtual_time`] plays them around the product's own pure machines on a modelled network and
-//! disk; the lab plays the same steps on processes. Either tells the [`laws`] what happens, and they judge.
+//! A [`Scenario`] gives the size of the fleet, its network and its faults. [`schedule::steps`] turns the scenario and
+//! its seed into timed [`schedule::Step`]s. [`virtual_time`] runs these steps against the product's own state
+//! machines, with a simulated network and disk; the lab runs the same steps against real processes. Both report what
+//! happens to the [`invariants`], which decide whether the run passes.
 //!
-//! Nothing here does input or output or reads a clock. It shows nothing of the kernel, of sockets or of processor
-//! time: that is what the other clock is for.
+//! This package does no input or output and reads no clock. Effects of the kernel, of sockets and of processor time
+//! therefore only show in runs on real processes.
 //!
 //! ```
 //! let scenario = merlinfold_fault_injection::catalogue::find("machine-drops").unwrap();
--- a/crates/fault-injection/src/replicated_log/generate.rs
+++ b/crates/fault-injection/src/replicated_log/generate.rs
@@ -1,4 +1,4 @@
-//! Worlds that are drawn: a small fleet and a handful of faults from one seed.
+//! Generates random scenarios for the replicated log: a small fleet and a few faults from one seed.
 
 use merlinfold_simulation::seed::Seed;
 use rand::Rng;
@@ -8,7 +8,7 @@
 
 const FAULTS_END_S: f64 = 22.0;
 
-/// The world of this seed. Where `lasting`, nodes have disks, and these fail too.
+/// Returns the scenario of this seed. If `durable_disks`, nodes store the log on disks, and disks fail too.
 pub fn generate(seed: u64, nodes: usize, durable_disks: bool) -> LogScenario {
     let mut stream = Seed(seed).stream("agreed", nodes as u64);
     let voters = if nodes >= 5 && stream.random::<bool>() { 5 } else { 3 };
@@ -18,9 +18,9 @@
     for _ in 0..stream.random_range(1..=5) {
         let at = stream.random_range(3.0..FAULTS_END_S - 8.0);
         let duration = stream.random_range(0.3..8.0);
-        // Most of what matters happens at candidates, which come first.
-        let among = if stream.random::<bool>() { candidates } else { nodes };
-        let who = format!("node:{}", stream.random_range(0..among));
+        // Half of the faults only hit candidates, which come first, since these matter most.
+        let targets = if stream.random::<bool>() { candidates } else { nodes };
+        let who = format!("node:{}", stream.random_range(0..targets));
         let share = format!("share:{:.2}", stream.random_range(0.1..0.9));
         let side = if stream.random::<bool>() { share } else { who.clone() };
         let disk = match stream.random_range(0..6) {
@@ -55,7 +55,7 @@
         faults.push(Fault { at, duration: Some(duration), kind });
     }
     let base = Scenario {
-        question: "Does the log keep its laws?".to_owned(),
+        question: "Does the log keep its invariants?".to_owned(),
         seed,
         seconds: 48.0,
         manual_only: false,
--- a/crates/fault-injection/src/replicated_log/mod.rs
+++ b/crates/fault-injection/src/replicated_log/mod.rs
@@ -1,5 +1,5 @@
-//! The agreed log in virtual time: the product's own machine on modelled links and disks, under one schedule, with its
-//! laws watched at every event.
+//! Simulates the replicated log in virtual time: the product's own state machine on simulated links and disks, with
+//! scheduled faults and with the invariants checked on every event.
 
 mod generate;
 mod invariants;
--- a/crates/fault-injection/src/replicated_log/simulator.rs
+++ b/crates/fault-injection/src/replicated_log/simulator.rs
@@ -1,4 +1,4 @@
-//! Plays one world.
+//! Runs one scenario of the replicated log.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -6,8 +6,8 @@
 
 use merlinfold_replicated_log::command::{Command, EntryPayload, Outcome, Set, SET};
 use merlinfold_replicated_log::{
-    Action, Defect, Event, FileWrite, Group, Identity, Name, Notification, Peer, ReplicatedLog,
-    StoredLog as KeptLog, Tuning,
+    Action, Defect, Event, FileWrite, Group, Identity, Name, Notification, Peer, ReplicatedLog, StoredLog,
+    Tuning,
 };
 use merlinfold_simulation::seed::{mix, Seed, Stream};
 use merlinfold_simulation::{Nanos, MS, SECOND};
@@ -20,52 +20,53 @@
 use crate::schedule::{nanos, steps, Step, StepAction};
 
 const VIEW_INTERVAL: Nanos = 500 * MS;
-const VIEW_DELAY: Nanos = 1_200 * MS; // until a death is known, as the membership takes at 300 nodes
+const VIEW_DELAY: Nanos = 1_200 * MS; // until nodes learn of a death, as long as the membership takes at 300 nodes
 const PROPOSAL_INTERVAL: Nanos = 250 * MS;
-const FILE_WRITE_OPERATIONS: usize = 4; // of a disk, a file
+const FILE_WRITE_OPERATIONS: usize = 4; // disk operations to write a file
 const SHUTDOWN_TIME: Nanos = 300 * MS;
-const SETTLE_TIME: Nanos = 20 * SECOND; // from the last fault on, until a command must be agreed everywhere
+const SETTLE_TIME: Nanos = 20 * SECOND; // after the last step, until a command is proposed that all nodes must commit
 
-/// A fleet and what happens to it.
+/// A fleet with a replicated log, and its faults.
 #[derive(Clone, Debug)]
 pub struct LogScenario {
     /// Nodes, links and faults.
     pub base: Scenario,
-    /// How many nodes, from the first on, may vote.
+    /// Number of nodes, from the first on, that may become voters.
     pub candidates: usize,
-    /// How many do.
+    /// Number of voters.
     pub voters: usize,
-    /// Whether disks last.
+    /// Whether the log is stored on disks.
     pub durable_disks: bool,
-    /// Whether commands have to be agreed again after the last fault.
+    /// Whether commands must be committed again after the last fault.
     pub requires_recovery: bool,
 }
 
-/// What came of it.
+/// Outcome of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunOutcome {
-    /// Laws that were broken.
+    /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Commands confirmed, and given up.
+    /// Number of confirmed commands.
     pub confirmed: usize,
-    /// The same.
+    /// Number of proposals that timed out.
     pub timed_out: usize,
-    /// Places agreed on.
+    /// Number of committed entries.
     pub entries: usize,
-    /// Groups that have decided anything.
+    /// Number of groups that committed an entry.
     pub groups: usize,
-    /// From a proposal to its confirmation.
+    /// Times from a proposal to its confirmation.
     pub latency: Vec<Nanos>,
-    /// From a leader's death or stop to the next lead.
+    /// Times from the death, shutdown or pause of a leader to the next leadership.
     pub leaderless: Vec<Nanos>,
-    /// Bytes a second that each node sent, on the mean.
+    /// Bytes per second that a node sent, averaged over the nodes.
     pub bytes_s: f64,
-    /// Whether all live nodes agreed on a command at the end.
+    /// Whether all running nodes had applied the last command at the end.
     pub recovered: bool,
-    /// What happened, a line each.
+    /// Event log, if it was recorded.
     pub lines: Vec<String>,
 }
 
+/// A node: its state machine while the process runs, and its disk.
 struct Node {
     name: Name,
     machine: Option<ReplicatedLog>,
@@ -77,6 +78,8 @@
     sent: u64,
 }
 
+/// An event of the simulation. Events of a process carry the number of its start, and are ignored after another
+/// start.
 enum QueuedEvent {
     Step(usize),
     Deliver { to: usize, bytes: Vec<u8> },
@@ -88,6 +91,8 @@
     Probe,
 }
 
+/// The state of a simulation. `queue` orders the slots of `events` by time and sequence number; `free` are unused
+/// slots.
 struct Simulator<'a> {
     scenario: &'a LogScenario,
     tuning: Tuning,
@@ -97,12 +102,12 @@
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
     events: Vec<Option<QueuedEvent>>,
     free: Vec<usize>,
-    next: u64,
+    next_sequence: u64,
     now: Nanos,
     stream: Stream,
     proposed: BTreeMap<u128, Nanos>,
     probe: Option<u128>,
-    lost_lead: Option<Nanos>,
+    leader_lost_at: Option<Nanos>,
     outcome: RunOutcome,
     record_lines: bool,
 }
@@ -111,13 +116,14 @@
     SocketAddr::from(([10, 0, (node >> 8) as u8, node as u8], 7_947))
 }
 
-fn number(at: SocketAddr) -> usize {
+fn node_number(at: SocketAddr) -> usize {
     let SocketAddr::V4(at) = at else { return usize::MAX };
     let [.., high, low] = at.ip().octets();
     usize::from(high) << 8 | usize::from(low)
 }
 
-/// Plays a world; `defect` stands in every node. The same world gives the same.
+/// Runs a scenario in virtual time; `defect` is planted in every node. The same scenario gives the same outcome.
+/// `record_lines` enables the event log.
 pub fn simulate(
     scenario: &LogScenario, defect: Option<Defect>, record_lines: bool,
 ) -> Result<RunOutcome, String> {
@@ -144,12 +150,12 @@
         queue: BinaryHeap::new(),
         events: Vec::new(),
         free: Vec::new(),
-        next: 0,
+        next_sequence: 0,
         now: 0,
         stream: Seed(base.seed).stream("proposals", 0),
         proposed: BTreeMap::new(),
         probe: None,
-        lost_lead: None,
+        leader_lost_at: None,
         outcome: RunOutcome::default(),
         record_lines,
     };
@@ -174,15 +180,16 @@
             self.events.len() - 1
         });
         self.events[slot] = Some(event);
-        self.next += 1;
-        self.queue.push(Reverse((at, self.next, slot)));
+        self.next_sequence += 1;
+        self.queue.push(Reverse((at, self.next_sequence, slot)));
     }
 
-    fn line(&mut self, node: Option<usize>, what: String) {
+    /// Adds a line to the event log if it is recorded.
+    fn line(&mut self, node: Option<usize>, text: String) {
         if self.record_lines {
             let at = self.now as f64 / SECOND as f64;
             let node = node.map_or(String::new(), |node| format!(" n{node}"));
-            self.outcome.lines.push(format!("{at:9.3}{node} {what}"));
+            self.outcome.lines.push(format!("{at:9.3}{node} {text}"));
         }
     }
 
@@ -228,7 +235,7 @@
                 QueuedEvent::Probe => {
                     let id = self.stream.random::<u128>() | 1;
                     self.probe = Some(id);
-                    let up: Vec<usize> = self.up().collect();
+                    let up: Vec<usize> = self.running_nodes().collect();
                     if let Some(&node) = up.first() {
                         self.propose_command(node, id, "probe", None);
                     }
@@ -237,7 +244,8 @@
         }
     }
 
-    fn up(&self) -> impl Iterator<Item = usize> + '_ {
+    /// Returns the nodes whose process runs and is not paused.
+    fn running_nodes(&self) -> impl Iterator<Item = usize> + '_ {
         let up = |node: &Node| node.machine.is_some() && !node.paused;
         self.nodes.iter().enumerate().filter(move |(_, node)| up(node)).map(|(n, _)| n)
     }
@@ -273,12 +281,14 @@
         }
     }
 
+    /// Records when a leader was lost if this node was one.
     fn note_lost_leader(&mut self, node: usize) {
         if self.nodes[node].machine.as_ref().is_some_and(|machine| machine.leading_term().is_some()) {
-            self.lost_lead = Some(self.now);
+            self.leader_lost_at = Some(self.now);
         }
     }
 
+    /// Starts a process with the given disk contents.
     fn start(&mut self, node: usize, contents: DiskContents) {
         let (scenario, now) = (self.scenario, self.now);
         let node_state = &mut self.nodes[node];
@@ -286,9 +296,9 @@
         (node_state.paused, node_state.down_since, node_state.scheduled) = (false, None, None);
         let contents = if scenario.durable_disks { contents } else { DiskContents::Empty };
         node_state.disk.start(contents, None);
-        let (stored, doubt) = if scenario.durable_disks {
-            let (stored, doubt) = KeptLog::load(&node_state.disk, &node_state.name);
-            (Some(stored), doubt)
+        let (stored, error) = if scenario.durable_disks {
+            let (stored, error) = StoredLog::load(&node_state.disk, &node_state.name);
+            (Some(stored), error)
         } else {
             (None, None)
         };
@@ -300,17 +310,18 @@
             voter_count: scenario.voters,
         };
         let seed = mix(scenario.base.seed ^ mix(node as u64 + (node_state.starts << 20)));
-        let mut out = Vec::new();
-        let machine = ReplicatedLog::new(id, self.tuning.clone(), stored, seed, now, &mut out);
+        let mut actions = Vec::new();
+        let machine = ReplicatedLog::new(id, self.tuning.clone(), stored, seed, now, &mut actions);
         node_state.machine = Some(machine);
-        if let Some(doubt) = doubt {
-            self.line(Some(node), format!("doubt: {doubt}"));
+        if let Some(error) = error {
+            self.line(Some(node), format!("stored log: {error}"));
         }
         let peers = self.peers(node);
-        self.perform_actions(node, out);
+        self.perform_actions(node, actions);
         self.handle_event(node, Event::Peers(peers));
     }
 
+    /// Ends the process of a node.
     fn end(&mut self, node: usize) {
         self.note_lost_leader(node);
         let node_state = &mut self.nodes[node];
@@ -321,7 +332,8 @@
         node_state.down_since.get_or_insert(self.now);
     }
 
-    /// How a node sees the others: what is cut off or down is known to be so after a while.
+    /// Returns the membership as a node sees it: nodes that are down are known to be dead after [`VIEW_DELAY`], and
+    /// cut links at the next update of the views.
     fn peers(&self, observer: usize) -> Vec<Peer> {
         let base = &self.scenario.base;
         let alive = |n: usize| {
@@ -339,32 +351,34 @@
         (0..self.nodes.len()).map(peer).collect()
     }
 
+    /// Gives every running node its view of the membership.
     fn update_views(&mut self) {
-        for node in self.up().collect::<Vec<_>>() {
+        for node in self.running_nodes().collect::<Vec<_>>() {
             let peers = self.peers(node);
             self.handle_event(node, Event::Peers(peers));
         }
         self.push(self.now + VIEW_INTERVAL, QueuedEvent::UpdateViews);
     }
 
+    /// Proposes a random command through a random node, a quarter of them twice, and schedules the next proposal.
     fn propose(&mut self) {
-        let up: Vec<usize> = self.up().collect();
+        let up: Vec<usize> = self.running_nodes().collect();
         if !up.is_empty() {
             let node = up[self.stream.random_range(0..up.len())];
             let id = self.stream.random::<u128>() | 1;
             let key = format!("k{}", self.stream.random_range(0..5));
             let state = self.nodes[node].machine.as_ref().map(ReplicatedLog::state);
-            let stands = state.and_then(|state| state.value(&key)).map_or(0, |value| value.revision);
-            let expect = Some(stands).filter(|_| self.stream.random::<bool>());
+            let revision = state.and_then(|state| state.value(&key)).map_or(0, |value| value.revision);
+            let expect = Some(revision).filter(|_| self.stream.random::<bool>());
             self.propose_command(node, id, &key, expect);
             if self.stream.random_range(0..4) == 0 {
-                // The same again through another node, as after an answer that was lost.
+                // The same command again through another node, as after a lost answer.
                 let other = up[self.stream.random_range(0..up.len())];
                 self.propose_command(other, id, &key, expect);
             }
         }
-        let more = self.stream.random_range(0..PROPOSAL_INTERVAL);
-        self.push(self.now + PROPOSAL_INTERVAL / 2 + more, QueuedEvent::Propose);
+        let jitter = self.stream.random_range(0..PROPOSAL_INTERVAL);
+        self.push(self.now + PROPOSAL_INTERVAL / 2 + jitter, QueuedEvent::Propose);
     }
 
     fn propose_command(&mut self, node: usize, id: u128, key: &str, expect: Option<u64>) {
@@ -376,27 +390,28 @@
 
     fn handle_event(&mut self, node: usize, event: Event) {
         let Some(machine) = &mut self.nodes[node].machine else { return };
-        let mut out = Vec::new();
-        machine.handle(self.now, event, &mut out);
-        self.perform_actions(node, out);
+        let mut actions = Vec::new();
+        machine.handle(self.now, event, &mut actions);
+        self.perform_actions(node, actions);
     }
 
     fn group(&self, node: usize) -> Group {
         self.nodes[node].machine.as_ref().map(ReplicatedLog::group).unwrap_or_default()
     }
 
-    fn perform_actions(&mut self, node: usize, out: Vec<Action>) {
+    /// Carries out actions of a state machine, checks its vote and schedules its next tick.
+    fn perform_actions(&mut self, node: usize, actions: Vec<Action>) {
         let mut group = self.group(node);
-        for action in out {
+        for action in actions {
             match action {
                 Action::Send { to, bytes } => {
-                    let to = number(to);
-                    for way in self.links.delivery_delays(self.now, node, to, bytes.len()) {
-                        self.push(self.now + way, QueuedEvent::Deliver { to, bytes: bytes.clone() });
+                    let to = node_number(to);
+                    for transit in self.links.delivery_delays(self.now, node, to, bytes.len()) {
+                        self.push(self.now + transit, QueuedEvent::Deliver { to, bytes: bytes.clone() });
                     }
                 }
                 Action::Persist(writes) => self.persist(node, &writes),
-                Action::Notify(note) => self.handle_notification(node, &mut group, note),
+                Action::Notify(notification) => self.handle_notification(node, &mut group, notification),
             }
         }
         let Some(machine) = &self.nodes[node].machine else { return };
@@ -410,20 +425,21 @@
         }
     }
 
+    /// Writes files to the node's disk and reports the result after the time that this takes.
     fn persist(&mut self, node: usize, writes: &[FileWrite]) {
         let node_state = &self.nodes[node];
         let saved: Result<(), _> =
             writes.iter().try_for_each(|write| write.save(&node_state.disk, &node_state.name));
         let delay = MS / 2 + node_state.disk.operation_delay(FILE_WRITE_OPERATIONS * writes.len());
         let (start, durable) = (node_state.starts, saved.is_ok());
-        if let Err(fault) = saved {
-            self.line(Some(node), format!("disk: {fault}"));
+        if let Err(error) = saved {
+            self.line(Some(node), format!("disk: {error}"));
         }
         self.push(self.now + delay, QueuedEvent::SaveDone { node, start, durable });
     }
 
-    fn handle_notification(&mut self, node: usize, group: &mut Group, note: Notification) {
-        match note {
+    fn handle_notification(&mut self, node: usize, group: &mut Group, notification: Notification) {
+        match notification {
             Notification::Applied(entry) => {
                 let node_state = self.nodes[node].machine.as_ref();
                 if let EntryPayload::Command(command) = &entry.what {
@@ -437,7 +453,7 @@
             Notification::StateReplaced(to, index) => {
                 *group = to;
                 self.checker.state_replaced(to, index);
-                self.line(Some(node), format!("holds {to:?} at {index}"));
+                self.line(Some(node), format!("state replaced by that of {to:?} at {index}"));
             }
             Notification::Outcome(id, outcome) => {
                 if let Some(at) = self.proposed.get(&id) {
@@ -452,7 +468,7 @@
             Notification::Leadership(term) => {
                 if let Some(term) = term {
                     self.checker.leader_elected(self.now, node, *group, term);
-                    if let Some(since) = self.lost_lead.take() {
+                    if let Some(since) = self.leader_lost_at.take() {
                         self.outcome.leaderless.push(self.now - since);
                     }
                 }
@@ -462,21 +478,22 @@
         }
     }
 
+    /// Makes the final checks and returns the outcome.
     fn finish(mut self, end: Nanos) -> RunOutcome {
         let now = self.now;
-        let up: Vec<usize> = self.up().collect();
+        let up: Vec<usize> = self.running_nodes().collect();
         let mut recovered = self.probe.is_some();
         for &node in &up {
             let Some(machine) = &self.nodes[node].machine else { continue };
             self.checker.check_confirmed_retained(now, node, machine.group(), machine.state());
-            let inside = machine.debug_summary();
-            let has = self.probe.is_some_and(|id| machine.state().outcome(id).is_some());
-            recovered &= has;
-            self.outcome.lines.push(format!("at the end n{node}: {inside}"));
+            let summary = machine.debug_summary();
+            let has_probe = self.probe.is_some_and(|id| machine.state().outcome(id).is_some());
+            recovered &= has_probe;
+            self.outcome.lines.push(format!("final state of n{node}: {summary}"));
             if self.scenario.requires_recovery {
-                let standing = machine.status(now);
-                self.checker.check_recovered(now, has, || {
-                    format!("n{node} does not have the last command: {standing:?}")
+                let status = machine.status(now);
+                self.checker.check_recovered(now, has_probe, || {
+                    format!("n{node} does not have the last command: {status:?}")
                 });
             }
         }
--- a/crates/fault-injection/src/scale.rs
+++ b/crates/fault-injection/src/scale.rs
@@ -1,8 +1,8 @@
-//! A fleet of membership machines to which nothing happens, in virtual time, without laws or disks: what the machine
-//! itself costs by the size of the fleet.
+//! Measures what the membership state machine costs by the size of the fleet: a fleet without faults in virtual time,
+//! without invariants and disks.
 //!
-//! The player's own work is outside of what is measured: processor time is read before and after each call of a
-//! machine, by a clock that the caller gives.
+//! The simulator's own work is not measured: the caller's clock is read before and after each call of a state
+//! machine.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,24 +17,24 @@
 const MACHINES_PER_ZONE: usize = 16;
 const SEEDS: usize = 3;
 const PORT: u16 = 7_946;
-const MIN_DELAY: Nanos = MS / 2; // of a datagram on its way
+const MIN_DELAY: Nanos = MS / 2; // transit time of a datagram
 const DELAY_JITTER: Nanos = 2 * MS;
-/// Virtual time in which a fleet forms; figures are taken from then on.
+/// Virtual time in which the fleet forms; measurements begin after it.
 pub const WARM_UP: Nanos = 20 * SECOND;
 
-/// A node's control machine. The product's own is [`Membership`]; tests put a defective one in its place.
+/// The membership state machine of a node. The product's own is [`Membership`]; tests replace it by a defective one.
 pub trait Machine {
-    /// Takes one event and appends what is to be done about it.
-    fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>);
-    /// When it next wants to be told that time has passed.
+    /// Handles one event and appends the resulting actions to `out`.
+    fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
+    /// Returns when the machine needs its next tick.
     fn due(&self) -> Option<Nanos>;
-    /// Members that it holds alive, itself among them.
+    /// Returns the number of members that it considers alive, including itself.
     fn alive(&self) -> usize;
 }
 
 impl Machine for Membership {
-    fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        Membership::handle(self, now, event, out);
+    fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        Membership::handle(self, now, event, actions);
     }
 
     fn due(&self) -> Option<Nanos> {
@@ -46,29 +46,29 @@
     }
 }
 
-/// What to play.
+/// Size and length of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Nodes of the fleet.
+    /// Number of nodes.
     pub nodes: usize,
     /// Seconds of virtual time that are measured.
     pub seconds: u64,
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// What a node cost on the mean over the measured seconds.
+/// Average cost of a node over the measured seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Measured {
-    /// Members that the node with the smallest view held alive at the end.
+    /// Members that the node with the smallest view considers alive at the end.
     pub entries: usize,
-    /// Messages sent a second.
+    /// Messages sent per second.
     pub messages_s: f64,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_s: f64,
-    /// Calls of the machine a second.
+    /// Calls of the machine per second.
     pub calls_s: f64,
-    /// Time in the machine for a node's second, in the unit of the given clock.
+    /// Time spent in the machine per second, in the unit of the given clock.
     pub machine_s: f64,
 }
 
@@ -77,20 +77,22 @@
     Tick(usize),
 }
 
+/// The state of a simulation. `queue` orders the slots of `events` by time and sequence number; `free` are unused
+/// slots.
 struct Simulator<'a, M> {
     machines: Vec<M>,
     scheduled: Vec<Option<Nanos>>,
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
     events: Vec<Option<QueuedEvent>>,
     free: Vec<usize>,
-    pushed: u64,
+    next_sequence: u64,
     now: Nanos,
     delays: Stream,
     clock: &'a dyn Fn() -> u64,
     messages: u64,
     bytes: u64,
     calls: u64,
-    in_machine: u64,
+    time_in_machine: u64,
 }
 
 fn address(node: usize) -> SocketAddr {
@@ -120,8 +122,8 @@
     }
 }
 
-/// Plays a fleet of the machines that `make` makes of an identity and a seed. `clock` is read around each call of a
-/// machine. The same plan gives the same counts and bytes.
+/// Simulates a fleet of the machines that `make` creates from an identity and a seed. `clock` is read before and
+/// after each call of a machine. The same plan gives the same counts and bytes.
 pub fn simulate<M: Machine>(
     plan: &Plan, make: impl Fn(Identity, u64) -> M, clock: &dyn Fn() -> u64,
 ) -> Measured {
@@ -132,16 +134,16 @@
         queue: BinaryHeap::new(),
         events: Vec::new(),
         free: Vec::new(),
-        pushed: 0,
+        next_sequence: 0,
         now: 0,
         delays: Seed(plan.seed).stream("delays", 0),
         clock,
         messages: 0,
         bytes: 0,
         calls: 0,
-        in_machine: 0,
+        time_in_machine: 0,
     };
-    (0..plan.nodes).for_each(|node| simulator.schedule(node));
+    (0..plan.nodes).for_each(|node| simulator.schedule_tick(node));
     simulator.run_until(WARM_UP);
     simulator.reset_counts();
     simulator.run_until(WARM_UP + plan.seconds * SECOND);
@@ -149,14 +151,14 @@
 }
 
 impl<M: Machine> Simulator<'_, M> {
-    fn push(&mut self, at: Nanos, what: QueuedEvent) {
+    fn push(&mut self, at: Nanos, event: QueuedEvent) {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
         });
-        self.events[slot] = Some(what);
-        self.pushed += 1;
-        self.queue.push(Reverse((at, self.pushed, slot)));
+        self.events[slot] = Some(event);
+        self.next_sequence += 1;
+        self.queue.push(Reverse((at, self.next_sequence, slot)));
     }
 
     fn run_until(&mut self, end: Nanos) {
@@ -180,18 +182,19 @@
         }
     }
 
+    /// Calls a machine with an event, measures the call and carries out its actions.
     fn handle_event(&mut self, node: usize, event: Event) {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let before = (self.clock)();
-        self.machines[node].handle(self.now, event, &mut out);
-        self.in_machine += (self.clock)() - before;
+        self.machines[node].handle(self.now, event, &mut actions);
+        self.time_in_machine += (self.clock)() - before;
         self.calls += 1;
-        for action in out {
+        for action in actions {
             if let Action::Send { to, bytes } = action {
                 self.send(node, node_at(to), bytes);
             }
         }
-        self.schedule(node);
+        self.schedule_tick(node);
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
@@ -203,7 +206,7 @@
         }
     }
 
-    fn schedule(&mut self, node: usize) {
+    fn schedule_tick(&mut self, node: usize) {
         let Some(due) = self.machines[node].due().map(|due| due.max(self.now)) else { return };
         if self.scheduled[node].is_none_or(|at| due < at) {
             self.scheduled[node] = Some(due);
@@ -212,16 +215,17 @@
     }
 
     fn reset_counts(&mut self) {
-        (self.messages, self.bytes, self.calls, self.in_machine) = (0, 0, 0, 0);
+        (self.messages, self.bytes, self.calls, self.time_in_machine) = (0, 0, 0, 0);
     }
 
+    /// Returns the costs per node and second.
     fn measured(&self, node_seconds: f64) -> Measured {
         Measured {
             entries: self.machines.iter().map(Machine::alive).min().unwrap_or(0),
             messages_s: self.messages as f64 / node_seconds,
             bytes_s: self.bytes as f64 / node_seconds,
             calls_s: self.calls as f64 / node_seconds,
-            machine_s: self.in_machine as f64 / node_seconds,
+            machine_s: self.time_in_machine as f64 / node_seconds,
         }
     }
 }
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -1,108 +1,109 @@
-//! What a trial file says.
+//! The format of a scenario file, and its validation.
 
-use merlinfold_config::Fault as TextFault;
+use merlinfold_config::Fault as TextError;
 use merlinfold_simulation::{Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// Nodes of a trial at most.
+/// The largest fleet of a scenario.
 pub const MAX_NODES: usize = 2_000;
 
-/// Number of the first guide server among the ends of links.
+/// Endpoint number of the first guide server; node numbers are below it.
 pub const FIRST_SERVER: usize = 100_000;
-/// Number of discovery.
+/// Endpoint number of the discovery service.
 pub const DISCOVERY: usize = 200_000;
-/// Number of all clients.
+/// Endpoint number that stands for all clients.
 pub const CLIENTS: usize = 200_001;
 
-/// A trial.
+/// A fault injection scenario, as it is written in a trial file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it is to show.
+    /// The question that the scenario answers, for people.
     pub question: String,
-    /// Of all that is drawn.
-    #[serde(default = "one")]
+    /// Seed of all random choices.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Length.
+    /// Length of the run in seconds.
     pub seconds: f64,
-    /// Too long for each run of the tests: only played by its name.
+    /// Whether the scenario takes too long for the regular tests and only runs when it is named. Written as
+    /// `by_hand`.
     #[serde(default, rename = "by_hand")]
     pub manual_only: bool,
-    /// Its processes.
+    /// The processes.
     pub fleet: Fleet,
-    /// Its links while nothing is wrong.
+    /// Properties of the links while no fault is active.
     #[serde(default)]
     pub network: Network,
-    /// The agreed log that its nodes keep; none: they keep none. On processes only; in virtual time its worlds are
-    /// drawn ([`crate::agreed`]).
+    /// Settings of the nodes' replicated log; without them the nodes have none. Only runs on processes use it: in
+    /// virtual time, log scenarios are generated instead ([`crate::replicated_log`]).
     #[serde(default)]
     pub log: Option<Log>,
-    /// What goes wrong.
+    /// The faults to inject.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// What has to hold beside the laws that always do.
+    /// Limits that this scenario sets for the invariants.
     #[serde(default)]
     pub rules: Rules,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-/// The agreed log of a trial's nodes.
+/// Settings of the replicated log of a scenario's nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
-    /// So many nodes, from the first on, may vote.
+    /// Number of nodes, from the first on, that may become voters.
     pub candidates: usize,
-    /// And so many do.
+    /// Number of voters.
     pub voters: usize,
-    /// Whether it is kept on disks.
+    /// Whether the log is stored on disk. Written as `lasting`.
     #[serde(default, rename = "lasting")]
     pub durable: bool,
 }
 
-/// The processes of a trial.
+/// The processes of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Zones, over which they are dealt in turn.
+    /// Zones, to which nodes are assigned round robin.
     pub zones: Vec<String>,
-    /// Machines in a zone, over which its nodes are dealt in turn.
-    #[serde(default = "two")]
+    /// Machines in each zone, to which the zone's nodes are assigned round robin.
+    #[serde(default = "default_machines")]
     pub machines: usize,
-    /// Nodes whose addresses all are given as seeds.
-    #[serde(default = "three")]
+    /// Number of nodes, from the first on, whose addresses every node gets as seeds.
+    #[serde(default = "default_seeds")]
     pub seeds: usize,
-    /// Guide servers, dealt over the zones in turn; only processes have any.
-    #[serde(default = "six")]
+    /// Number of guide servers, assigned to zones round robin; only used in runs on processes.
+    #[serde(default = "default_servers")]
     pub servers: usize,
-    /// Nodes of another fleet beside this one, which know the same seeds.
+    /// Number of nodes of another fleet that know the same seeds.
     #[serde(default)]
     pub strangers: usize,
 }
 
-fn two() -> usize {
+fn default_machines() -> usize {
     2
 }
 
-fn six() -> usize {
+fn default_servers() -> usize {
     6
 }
 
-fn three() -> usize {
+fn default_seeds() -> usize {
     3
 }
 
-/// Links while nothing is wrong.
+/// Properties of links while no fault is active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// Least time on the way, in milliseconds.
+    /// Minimum transit time in milliseconds.
     pub delay_ms: f64,
-    /// Drawn on top of that.
+    /// Upper bound of the random extra transit time in milliseconds.
     pub jitter_ms: f64,
     /// Share of datagrams that are lost.
     pub loss: f64,
@@ -114,156 +115,158 @@
     }
 }
 
-/// Something that goes wrong, for a while or for good.
+/// A fault that is injected for some time, or until the end of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When, in seconds.
+    /// Start in seconds since the start of the run.
     pub at: f64,
-    /// For how long; none: to the end.
+    /// Duration in seconds; without one, the fault lasts to the end of the run. Written as `lasts`.
     #[serde(rename = "lasts")]
     pub duration: Option<f64>,
-    /// What.
+    /// What fails.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// What goes wrong. `who`, `from` and `to` are `all`, `node:N`, `zone:NAME`, `machine:ZONE/N`, `share:0.3` (drawn)
-/// or `rest` (all that the other side is not). The ends of links are nodes, and in a zone its guide servers too;
-/// there are also `servers`, `server:N`, `discovery` and `clients`. In virtual time only links between nodes matter.
+/// The kind of a fault and its targets. `who`, `from` and `to` take `all`, `node:N`, `zone:NAME`, `machine:ZONE/N`,
+/// `share:0.3` (a random share of the nodes) or `rest` (all endpoints that are not on the other side). Links end at
+/// nodes and guide servers; a zone includes its guide servers. `from` and `to` also take `servers`, `server:N`,
+/// `discovery` and `clients`. In virtual time, only links between nodes have an effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// Killed outright, and started again at the fault's end.
+    /// Nodes are killed without warning, and started again when the fault ends.
     Kill {
-        /// Which nodes.
+        /// Nodes to kill.
         who: String,
-        /// What the disk holds then.
+        /// Disk contents at the restart.
         #[serde(default)]
         disk: DiskContents,
     },
-    /// Told to end, one after the other, and started again when it has.
+    /// Nodes are asked to shut down one after the other; each is started again after 70 % of the interval.
     Roll {
-        /// Which nodes.
+        /// Nodes to restart.
         who: String,
-        /// Seconds from one to the next.
+        /// Seconds between the shutdowns of two successive nodes.
         every: f64,
     },
-    /// Stopped, and continued at the fault's end.
+    /// Processes are suspended, and resumed when the fault ends.
     Pause {
-        /// Which nodes.
+        /// Nodes to suspend.
         who: String,
     },
-    /// Nothing passes on the links; nobody is told.
+    /// Links pass nothing, and no error is reported to either end.
     Cut {
         /// One side.
         from: String,
-        /// The other.
+        /// Other side.
         to: String,
-        /// In one direction only.
+        /// Whether only the direction from `from` to `to` is cut.
         #[serde(default)]
         one_way: bool,
     },
-    /// Connections on the links are reset, also new ones; datagrams are lost.
+    /// Connections over the links are reset, including new ones, and datagrams are lost.
     Reset {
         /// One side.
         from: String,
-        /// The other.
+        /// Other side.
         to: String,
     },
-    /// Links that lose datagrams; what is lost of a connection comes 200 ms later.
+    /// Links lose datagrams; lost connection data is delivered 200 ms later.
     Thin {
         /// One side.
         from: String,
-        /// The other.
+        /// Other side.
         to: String,
-        /// Share that is lost.
+        /// Share of datagrams that are lost.
         loss: f64,
     },
-    /// Links that take longer.
+    /// Links take longer.
     Delay {
         /// One side.
         from: String,
-        /// The other.
+        /// Other side.
         to: String,
-        /// Milliseconds more.
+        /// Extra transit time in milliseconds.
         ms: f64,
-        /// Drawn on top of that; what is sent later may come earlier.
+        /// Upper bound of a further random delay in milliseconds, which may reorder datagrams.
         #[serde(default)]
         jitter_ms: f64,
     },
-    /// Links that pass so much and drop the rest.
+    /// Links have a limited rate and drop the excess.
     Throttle {
         /// One side.
         from: String,
-        /// The other.
+        /// Other side.
         to: String,
-        /// Bytes a second, each way of each pair.
+        /// Bytes a second, for each pair of endpoints and each direction.
         bytes_s: f64,
     },
-    /// Links that pass some datagrams twice.
+    /// Links deliver some datagrams twice.
     Duplicate {
         /// One side.
         from: String,
-        /// The other.
+        /// Other side.
         to: String,
-        /// Share that comes twice.
+        /// Share of datagrams that arrive twice.
         share: f64,
     },
-    /// The disk does not do as it should.
+    /// The disk fails.
     Disk {
-        /// Which nodes.
+        /// Nodes whose disk fails.
         who: String,
-        /// What it does instead.
+        /// How the disk fails.
         does: DiskFault,
     },
 }
 
-/// What a disk holds when its node starts again.
+/// Contents of a node's disk when the node starts again. The variant names appear in reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiskContents {
-    /// What was durable.
+    /// Everything that was durable.
     #[default]
     Kept,
     /// Nothing.
     Empty,
-    /// What it held before the node's last start.
+    /// An older state: what the disk held before the last start of the node.
     Yesterday,
-    /// What was durable, cut at a drawn byte.
+    /// Everything that was durable, with each file truncated at a random byte.
     Torn,
-    /// What was durable, with a drawn bit turned.
+    /// Everything that was durable, with one random bit flipped in each file.
     Flipped,
     /// The files of another node.
     Foreign,
 }
 
-/// What a disk does wrong.
+/// How a disk fails. The variant names appear in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiskFault {
-    /// Takes no more.
+    /// Writes fail because the disk is full.
     Full,
-    /// No file may grow (setrlimit of the file size).
+    /// No file may grow beyond the limit on file sizes (`setrlimit`).
     Limited,
-    /// Its folder cannot be written or read.
+    /// The node's folder can be neither read nor written.
     Gone,
-    /// Fails to make durable, and says so.
+    /// Sync reports an error.
     SyncFails,
-    /// Fails to make durable, and says that it has.
+    /// Sync reports success without making anything durable.
     SyncLies,
-    /// Makes contents durable, and says so of names that it then loses.
+    /// File contents become durable; renames are reported as durable but get lost.
     NamesLost,
-    /// Takes all, and gives nothing back.
+    /// Writes succeed and reads fail.
     ReadFails,
-    /// Takes up to [`SLOW`] over each step.
+    /// Each operation takes up to [`MAX_SLOW_STEP`].
     Slow,
 }
 
-/// The longest step of a slow disk.
+/// The longest operation of a slow disk.
 pub const MAX_SLOW_STEP: Nanos = 2 * SECOND;
 
 impl DiskFault {
-    /// Whether it needs a store beneath the program: no folder of the machine can be made to do it.
+    /// Returns whether the fault needs a faulty store underneath the program, because no folder of the machine can be
+    /// made to fail this way.
     pub fn needs_faulty_store(self) -> bool {
         matches!(
             self,
@@ -275,28 +278,28 @@
         )
     }
 
-    /// Whether what was kept before it can be lost by it.
+    /// Returns whether writes that were confirmed before the fault ended may be lost.
     pub fn loses_confirmed_writes(self) -> bool {
         matches!(self, DiskFault::SyncLies | DiskFault::NamesLost)
     }
 
-    /// Whether a start may find nothing, though something was kept.
+    /// Returns whether a node that starts during the fault may find nothing although files are stored.
     pub fn may_hide_stored_files(self) -> bool {
         matches!(self, DiskFault::Gone | DiskFault::ReadFails | DiskFault::Slow)
     }
 }
 
-/// What has to hold beside the laws that always do.
+/// Limits that a scenario sets for the invariants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Seconds in which everybody untroubled holds a killed node dead.
+    /// Seconds within which every healthy node must consider a killed node dead.
     pub detect_s: f64,
-    /// Seconds after the last fault's end in which there is one view.
+    /// Seconds after the end of the last fault within which all nodes must agree on the members.
     pub settle_s: f64,
-    /// Live untroubled nodes that may be held dead by somebody.
+    /// How many times a live, healthy node may be considered dead by another one.
     pub false_deaths: usize,
-    /// Share of the requests that has to be served; only asked of processes.
+    /// Minimum share of requests that must be served; only checked in runs on processes.
     pub served: f64,
 }
 
@@ -307,32 +310,38 @@
 }
 
 impl Scenario {
-    /// Reads and checks a trial. The error names line and field.
+    /// Parses and validates a scenario. The error names the line or the field.
     pub fn parse(text: &str) -> Result<Self, String> {
         let scenario: Scenario =
-            merlinfold_config::parse(text).map_err(|fault: TextFault| fault.to_string())?;
+            merlinfold_config::parse(text).map_err(|error: TextError| error.to_string())?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    /// Whether it can be played.
+    /// Checks that the scenario can run. The error names the field and the accepted values.
     pub fn check(&self) -> Result<(), String> {
         let fleet = &self.fleet;
-        let wrong = |field: &str, why: String| Err(format!("{field}: {why}"));
+        let error = |field: &str, reason: String| Err(format!("{field}: {reason}"));
         if !(1..=MAX_NODES).contains(&fleet.nodes) {
-            return wrong("fleet.nodes", format!("1 to {MAX_NODES}"));
+            return error("fleet.nodes", format!("expected 1 to {MAX_NODES}, got {}", fleet.nodes));
         }
         if fleet.zones.is_empty() || fleet.machines == 0 || fleet.seeds == 0 {
-            return wrong("fleet", "zones, machines and seeds: at least one each".to_owned());
+            return error("fleet", "expected at least one zone, one machine and one seed".to_owned());
         }
         if !(self.seconds > 0.0 && self.seconds <= 1e6) {
-            return wrong("seconds", "over 0, up to 1000000".to_owned());
+            return error(
+                "seconds",
+                format!("expected more than 0 and at most 1000000, got {}", self.seconds),
+            );
         }
         if !(0.0..1.0).contains(&self.network.loss) {
-            return wrong("network.loss", "a share, under 1".to_owned());
+            return error(
+                "network.loss",
+                format!("expected a share of at least 0 and less than 1, got {}", self.network.loss),
+            );
         }
-        for (n, fault) in self.faults.iter().enumerate() {
-            let field = format!("fault.{n}");
+        for (index, fault) in self.faults.iter().enumerate() {
+            let field = format!("fault.{index}");
             let duration = fault.duration.unwrap_or(0.0);
             let sides = match &fault.kind {
                 FaultKind::Kill { who, .. }
@@ -349,69 +358,79 @@
                 | FaultKind::Duplicate { from, to, .. } => vec![from, to],
             };
             if !(fault.at >= 0.0 && duration >= 0.0 && fault.at + duration <= self.seconds) {
-                return wrong(&field, format!("not within the {} s of the trial", self.seconds));
+                return error(&field, format!("the fault is not within the {} s of the trial", self.seconds));
             }
             for side in sides {
-                self.select(side).map_err(|why| format!("{field}: {side:?}: {why}"))?;
+                self.select(side).map_err(|reason| format!("{field}: {side:?}: {reason}"))?;
             }
         }
         Ok(())
     }
 
-    /// Every node and guide server.
+    /// Returns the endpoint numbers of all nodes and guide servers.
     pub(crate) fn endpoints(&self) -> impl Iterator<Item = usize> {
         (0..self.fleet.nodes).chain(FIRST_SERVER..FIRST_SERVER + self.fleet.servers)
     }
 
-    /// Zone of a node, or of a guide server by its own number.
+    /// Returns the zone of a node, or of a guide server by its index.
     pub fn zone(&self, node: usize) -> &str {
         &self.fleet.zones[node % self.fleet.zones.len()]
     }
 
-    /// Machine of a node: zone and number.
+    /// Returns the machine of a node as `ZONE/N`.
     pub fn machine(&self, node: usize) -> String {
         format!("{}/{}", self.zone(node), node / self.fleet.zones.len() % self.fleet.machines)
     }
 
-    /// Whom a side means: nodes, or a share to be drawn.
+    /// Resolves the text of a `who`, `from` or `to` field. The error says what is expected.
     pub(crate) fn select(&self, side: &str) -> Result<EndpointSelection, String> {
         let all = 0..self.fleet.nodes;
         let servers = FIRST_SERVER..FIRST_SERVER + self.fleet.servers;
         let (kind, name) = side.split_once(':').unwrap_or((side, ""));
-        let chosen: Vec<usize> = match kind {
+        let selected: Vec<usize> = match kind {
             "rest" => return Ok(EndpointSelection::Rest),
             "share" => {
-                let share: f64 = name.parse().map_err(|_| "no share".to_owned())?;
+                let share: f64 = name.parse().map_err(|_| "expected a share from 0 to 1".to_owned())?;
                 return if (0.0..=1.0).contains(&share) {
                     Ok(EndpointSelection::Share(share))
                 } else {
-                    Err("0 to 1".to_owned())
+                    Err("expected a share from 0 to 1".to_owned())
                 };
             }
             "all" => all.collect(),
             "node" => {
-                let node: usize = name.parse().map_err(|_| "no number".to_owned())?;
+                let node: usize = name.parse().map_err(|_| "expected a number after the colon".to_owned())?;
                 all.filter(|&n| n == node).collect()
             }
-            "zone" => all.filter(|&n| self.zone(n) == name).chain(servers.filter(|&n| self.zone(n - FIRST_SERVER) == name)).collect(),
+            "zone" => {
+                let nodes = all.filter(|&node| self.zone(node) == name);
+                nodes.chain(servers.filter(|&server| self.zone(server - FIRST_SERVER) == name)).collect()
+            }
             "servers" => servers.collect(),
             "server" => {
-                let server: usize = name.parse().map_err(|_| "no number".to_owned())?;
+                let server: usize =
+                    name.parse().map_err(|_| "expected a number after the colon".to_owned())?;
                 servers.filter(|&n| n == FIRST_SERVER + server).collect()
             }
             "discovery" => vec![DISCOVERY],
             "clients" => vec![CLIENTS],
             "machine" => all.filter(|&n| self.machine(n) == name).collect(),
-            _ => return Err("all, node:N, zone:NAME, machine:ZONE/N, share:S, rest, servers, server:N, discovery or clients".to_owned()),
+            _ => {
+                return Err(
+                    "expected all, node:N, zone:NAME, machine:ZONE/N, share:S, rest, servers, server:N, \
+                 discovery or clients"
+                        .to_owned(),
+                )
+            }
         };
-        if chosen.is_empty() {
-            return Err("nobody is meant".to_owned());
+        if selected.is_empty() {
+            return Err("no node or server matches".to_owned());
         }
-        Ok(EndpointSelection::Listed(chosen))
+        Ok(EndpointSelection::Listed(selected))
     }
 }
 
-/// Whom a side of a fault means.
+/// Endpoints that a `who`, `from` or `to` field selects.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum EndpointSelection {
     Listed(Vec<usize>),
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,4 +1,4 @@
-//! From a trial and its seed to timed steps.
+//! Turns a scenario and its seed into a list of timed steps.
 
 use std::collections::BTreeSet;
 
@@ -8,28 +8,28 @@
 
 use crate::scenario::{DiskContents, DiskFault, EndpointSelection, FaultKind, Scenario, FIRST_SERVER};
 
-/// Nodes of one side.
-pub type NodeSet = BTreeSet<usize>;
+/// Endpoints on one side of a link rule: node numbers, and the numbers of guide servers, of discovery and of clients.
+pub type EndpointSet = BTreeSet<usize>;
 
-/// What a link does while a fault is on.
+/// What a link does while a fault is active. The variant names appear in reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkEffect {
     /// Passes nothing.
     Cut,
-    /// Passes nothing, and resets connections.
+    /// Passes nothing and resets connections.
     Reset,
-    /// Loses this share.
+    /// Loses this share of datagrams.
     Thin(f64),
-    /// Takes longer: at least this, and up to this much more, in milliseconds.
+    /// Adds at least the first number of milliseconds, plus up to the second number at random.
     Delay(f64, f64),
-    /// Passes so many bytes a second.
+    /// Passes this many bytes a second.
     Throttle(f64),
-    /// Passes this share twice.
+    /// Delivers this share of datagrams twice.
     Duplicate(f64),
 }
 
 impl LinkEffect {
-    /// Whether a node may be held dead for it.
+    /// Returns whether the effect is severe enough that a healthy node may be declared dead because of it.
     pub fn may_cause_death_report(self) -> bool {
         match self {
             LinkEffect::Cut | LinkEffect::Reset | LinkEffect::Throttle(_) => true,
@@ -40,72 +40,73 @@
     }
 }
 
-/// Something to be done.
+/// A single action of the schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StepAction {
-    /// Kill a node outright.
+    /// Kill the node's process without warning.
     Kill(usize),
-    /// Tell a node to end.
+    /// Ask the node to shut down.
     Stop(usize),
-    /// Start a node whose disk holds this.
+    /// Start the node with these disk contents.
     Start(usize, DiskContents),
-    /// Stop a node's processor.
+    /// Suspend the node's process.
     Pause(usize),
-    /// And let it go on.
+    /// Resume the node's process.
     Continue(usize),
-    /// Links from these to those do this from now on.
+    /// Apply an effect to all links from one set of endpoints to another.
     BeginRule {
-        /// Number of the rule, to end it by.
+        /// Number that the matching [`StepAction::EndRule`] uses.
         rule: usize,
-        /// Senders.
-        from: NodeSet,
-        /// Receivers.
-        to: NodeSet,
-        /// What.
+        /// Sending endpoints.
+        from: EndpointSet,
+        /// Receiving endpoints.
+        to: EndpointSet,
+        /// Effect on these links.
         effect: LinkEffect,
     },
-    /// A rule ends.
+    /// End the link rule with this number.
     EndRule(usize),
-    /// A disk does this from now on, or nothing wrong any more.
+    /// Give the node's disk this fault, or repair it.
     SetDiskFault(usize, Option<DiskFault>),
 }
 
 impl StepAction {
-    /// In a line of a report.
+    /// Returns a description for the timeline of a report.
     pub fn description(&self) -> String {
         match self {
             StepAction::Kill(node) => format!("n{node} is killed"),
-            StepAction::Stop(node) => format!("n{node} is told to end"),
+            StepAction::Stop(node) => format!("n{node} is asked to shut down"),
             StepAction::Start(node, contents) => format!("n{node} starts, disk {contents:?}"),
             StepAction::Pause(node) => format!("n{node} is paused"),
-            StepAction::Continue(node) => format!("n{node} goes on"),
+            StepAction::Continue(node) => format!("n{node} resumes"),
             StepAction::BeginRule { from, to, effect, .. } => {
                 format!("links of {} to {} nodes: {effect:?}", from.len(), to.len())
             }
-            StepAction::EndRule(rule) => format!("rule {rule} of links ends"),
+            StepAction::EndRule(rule) => format!("link rule {rule} ends"),
             StepAction::SetDiskFault(node, fault) => format!("disk of n{node}: {fault:?}"),
         }
     }
 }
 
-/// A step and its time.
+/// An action and when it happens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When.
+    /// Time since the start of the run.
     pub at: Nanos,
-    /// What.
+    /// Action to carry out.
     pub action: StepAction,
 }
 
-/// Seconds of a trial file as nanoseconds.
+/// Converts seconds of a scenario file to nanoseconds.
 pub fn nanos(seconds: f64) -> Nanos {
     (seconds * SECOND as f64) as Nanos
 }
 
-fn select_nodes(side: EndpointSelection, count: usize, stream: &mut Stream) -> NodeSet {
+/// Returns the endpoints of a selection; a share is sampled from the fleet's `count` nodes.
+fn select_endpoints(side: EndpointSelection, count: usize, stream: &mut Stream) -> EndpointSet {
     match side {
         EndpointSelection::Listed(nodes) => nodes.into_iter().collect(),
-        EndpointSelection::Rest => NodeSet::new(),
+        EndpointSelection::Rest => EndpointSet::new(),
         EndpointSelection::Share(share) => {
             let mut all: Vec<usize> = (0..count).collect();
             all.shuffle(stream);
@@ -115,54 +116,54 @@
     }
 }
 
-/// Of a side those that are processes of the fleet.
-fn only_nodes(side: NodeSet) -> NodeSet {
-    side.into_iter().filter(|&end| end < FIRST_SERVER).collect()
+/// Returns those endpoints that are nodes of the fleet.
+fn only_nodes(side: EndpointSet) -> EndpointSet {
+    side.into_iter().filter(|&endpoint| endpoint < FIRST_SERVER).collect()
 }
 
-/// All steps of a trial, in order of time; the same for the same seed.
+/// Returns all steps of a scenario in order of time. The same seed gives the same steps.
 pub fn steps(scenario: &Scenario) -> Result<Vec<Step>, String> {
     let count = scenario.fleet.nodes;
     let mut steps: Vec<Step> = Vec::new();
-    for (n, fault) in scenario.faults.iter().enumerate() {
-        // A stream for each fault: shrinking one away leaves the draws of the others.
-        let mut stream = Seed(scenario.seed).stream("fault", n as u64);
-        let (begins, ends) = (nanos(fault.at), fault.duration.map(|duration| nanos(fault.at + duration)));
-        let mut ends_of =
-            |side: &str| scenario.select(side).map(|side| select_nodes(side, count, &mut stream));
+    for (index, fault) in scenario.faults.iter().enumerate() {
+        // Each fault has its own random stream, so removing one fault while shrinking does not change the others.
+        let mut stream = Seed(scenario.seed).stream("fault", index as u64);
+        let (start, end) = (nanos(fault.at), fault.duration.map(|duration| nanos(fault.at + duration)));
+        let mut endpoints_of =
+            |side: &str| scenario.select(side).map(|side| select_endpoints(side, count, &mut stream));
         let mut add = |at: Nanos, action: StepAction| steps.push(Step { at, action });
-        let ends = |add: &mut dyn FnMut(Nanos, StepAction), action: StepAction| {
-            if let Some(at) = ends {
+        let add_at_end = |add: &mut dyn FnMut(Nanos, StepAction), action: StepAction| {
+            if let Some(at) = end {
                 add(at, action);
             }
         };
-        let (from, to, effects) = match &fault.kind {
+        let (from, to, effect) = match &fault.kind {
             FaultKind::Kill { who: side, disk } => {
-                for node in only_nodes(ends_of(side)?) {
-                    add(begins, StepAction::Kill(node));
-                    ends(&mut add, StepAction::Start(node, *disk));
+                for node in only_nodes(endpoints_of(side)?) {
+                    add(start, StepAction::Kill(node));
+                    add_at_end(&mut add, StepAction::Start(node, *disk));
                 }
                 continue;
             }
             FaultKind::Roll { who: side, every } => {
-                for (turn, node) in only_nodes(ends_of(side)?).into_iter().enumerate() {
-                    let at = begins + nanos(every * turn as f64);
+                for (position, node) in only_nodes(endpoints_of(side)?).into_iter().enumerate() {
+                    let at = start + nanos(every * position as f64);
                     add(at, StepAction::Stop(node));
                     add(at + nanos(0.7 * every), StepAction::Start(node, DiskContents::Kept));
                 }
                 continue;
             }
             FaultKind::Pause { who: side } => {
-                for node in only_nodes(ends_of(side)?) {
-                    add(begins, StepAction::Pause(node));
-                    ends(&mut add, StepAction::Continue(node));
+                for node in only_nodes(endpoints_of(side)?) {
+                    add(start, StepAction::Pause(node));
+                    add_at_end(&mut add, StepAction::Continue(node));
                 }
                 continue;
             }
             FaultKind::Disk { who: side, does } => {
-                for node in only_nodes(ends_of(side)?) {
-                    add(begins, StepAction::SetDiskFault(node, Some(*does)));
-                    ends(&mut add, StepAction::SetDiskFault(node, None));
+                for node in only_nodes(endpoints_of(side)?) {
+                    add(start, StepAction::SetDiskFault(node, Some(*does)));
+                    add_at_end(&mut add, StepAction::SetDiskFault(node, None));
                 }
                 continue;
             }
@@ -174,23 +175,25 @@
             FaultKind::Duplicate { from, to, share } => (from, to, LinkEffect::Duplicate(*share)),
         };
         let one_way = matches!(&fault.kind, FaultKind::Cut { one_way: true, .. });
-        let (mut left, mut right) = (ends_of(from)?, ends_of(to)?);
-        let rest = |of: &NodeSet| scenario.endpoints().filter(|end| !of.contains(end)).collect::<NodeSet>();
+        let (mut left, mut right) = (endpoints_of(from)?, endpoints_of(to)?);
+        let rest = |side: &EndpointSet| {
+            scenario.endpoints().filter(|endpoint| !side.contains(endpoint)).collect::<EndpointSet>()
+        };
         if from == "rest" {
             left = rest(&right);
         }
         if to == "rest" {
             right = rest(&left);
         }
-        for (way, (from, to)) in [(&left, &right), (&right, &left)].into_iter().enumerate() {
-            if way == 1 && one_way {
+        for (direction, (from, to)) in [(&left, &right), (&right, &left)].into_iter().enumerate() {
+            if direction == 1 && one_way {
                 continue;
             }
-            let rule = 2 * n + way;
-            add(begins, StepAction::BeginRule { rule, from: from.clone(), to: to.clone(), effect: effects });
-            ends(&mut add, StepAction::EndRule(rule));
+            let rule = 2 * index + direction;
+            add(start, StepAction::BeginRule { rule, from: from.clone(), to: to.clone(), effect });
+            add_at_end(&mut add, StepAction::EndRule(rule));
         }
     }
-    steps.sort_by_key(|step| step.at); // stable: faults of one moment stay in the order of the file
+    steps.sort_by_key(|step| step.at); // The sort is stable: simultaneous faults stay in the order of the file.
     Ok(steps)
 }
--- a/crates/fault-injection/src/shrink.rs
+++ b/crates/fault-injection/src/shrink.rs
@@ -1,17 +1,19 @@
-//! A smaller schedule that breaks the same law.
+//! Reduces a scenario to a smaller one that violates the same invariant.
 
 use crate::scenario::Scenario;
 
 const MAX_ATTEMPTS: usize = 200;
 
-/// Takes away faults, then halves their length, then nodes, for as long as `breaks` says that the law still breaks.
-/// The result breaks it too; it is the trial itself if nothing can go.
+/// Removes faults, then halves their durations, then removes nodes, for as long as `breaks` confirms that the smaller
+/// scenario still violates the invariant. At most 200 candidates are tried. Returns a scenario for which `breaks` is
+/// true, or the given one if nothing could be removed.
 pub fn shrink(scenario: &Scenario, mut breaks: impl FnMut(&Scenario) -> bool) -> Scenario {
     let mut best = scenario.clone();
-    let mut tries = 0;
-    let mut try_out = |smaller: Scenario, best: &mut Scenario| {
-        tries += 1;
-        let better = tries <= MAX_ATTEMPTS && smaller != *best && smaller.check().is_ok() && breaks(&smaller);
+    let mut attempts = 0;
+    let mut accept_if_violating = |smaller: Scenario, best: &mut Scenario| {
+        attempts += 1;
+        let better =
+            attempts <= MAX_ATTEMPTS && smaller != *best && smaller.check().is_ok() && breaks(&smaller);
         if better {
             *best = smaller;
         }
@@ -19,23 +21,24 @@
     };
     loop {
         let before = best.clone();
-        let mut at = 0;
-        while at < best.faults.len() {
+        let mut index = 0;
+        while index < best.faults.len() {
             let mut smaller = best.clone();
-            smaller.faults.remove(at);
-            if !try_out(smaller, &mut best) {
-                at += 1;
+            smaller.faults.remove(index);
+            if !accept_if_violating(smaller, &mut best) {
+                index += 1;
             }
         }
-        for at in 0..best.faults.len() {
+        for index in 0..best.faults.len() {
             let mut smaller = best.clone();
-            smaller.faults[at].duration = smaller.faults[at].duration.map(|duration| (duration / 2.0).ceil());
-            try_out(smaller, &mut best);
+            smaller.faults[index].duration =
+                smaller.faults[index].duration.map(|duration| (duration / 2.0).ceil());
+            accept_if_violating(smaller, &mut best);
         }
-        for part in [2, 4] {
+        for divisor in [2, 4] {
             let mut smaller = best.clone();
-            smaller.fleet.nodes -= smaller.fleet.nodes / part;
-            try_out(smaller, &mut best);
+            smaller.fleet.nodes -= smaller.fleet.nodes / divisor;
+            accept_if_violating(smaller, &mut best);
         }
         if best == before {
             return best;
@@ -49,7 +52,7 @@
     use crate::scenario::FaultKind;
 
     #[test]
-    fn what_does_not_matter_is_taken_away() {
+    fn faults_time_and_nodes_that_do_not_matter_are_removed() {
         let text = "question = \"q\"\nseconds = 100.0\n[fleet]\nnodes = 40\nzones = [\"a\"]\n".to_owned();
         let fault =
             |kind| format!("[[fault]]\nat = 5.0\nlasts = 32.0\nkind = \"{kind}\"\nwho = \"node:1\"\n");
--- a/crates/fault-injection/src/virtual_time.rs
+++ b/crates/fault-injection/src/virtual_time.rs
@@ -1,4 +1,4 @@
-//! Plays a trial in virtual time: the product's own machines on a modelled network and disk.
+//! Runs a scenario in virtual time: the product's own membership state machines on a simulated network and disk.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -21,14 +21,16 @@
 use crate::scenario::{DiskContents, DiskFault, Scenario};
 use crate::schedule::{nanos, steps, Step, StepAction};
 
-const MAX_QUEUED_DATAGRAMS: usize = 256; // datagrams that a kernel keeps for a process that does not read
-const SAVE_OPERATIONS: usize = 6; // of a disk: open, read, write, sync, rename, sync of the folder
-const SHUTDOWN_TIME: Nanos = 400 * MS; // from being told to end to the end
-const FORMATION_TIME: Nanos = 20 * SECOND; // by when a fleet that starts at once is one; bytes are counted from then on
+const MAX_QUEUED_DATAGRAMS: usize = 256; // that a kernel buffers for a suspended process
+/// Disk operations of a load or save: open, read, write, sync, rename, sync of the folder.
+const SAVE_OPERATIONS: usize = 6;
+const SHUTDOWN_TIME: Nanos = 400 * MS; // from the request to shut down until the process has ended
+/// Time within which a fleet whose nodes start together has formed; sent bytes are counted from then on.
+const FORMATION_TIME: Nanos = 20 * SECOND;
 const CLUSTER: &str = "guides";
 const OTHER_CLUSTER: &str = "others";
 
-/// A name as members have it.
+/// Returns the name of a node.
 pub fn name(node: usize) -> Name {
     format!("n{node}").into()
 }
@@ -41,19 +43,21 @@
     machine: Option<Membership>,
     paused: bool,
     leaving: bool,
-    ended: bool, // or not yet started
+    ended: bool, // also true before the first start
     inbox: VecDeque<(SocketAddr, Vec<u8>)>,
     disk: ModelDisk,
     starts: u64,
     run: u64,
     scheduled: Option<Nanos>,
-    sent_before: u64,   // bytes, by starts that have ended
-    sent_starting: u64, // and in the first seconds
-    changed: bool,
+    sent_before: u64,   // bytes that earlier processes of this node sent
+    sent_starting: u64, // bytes sent before `FORMATION_TIME`
+    changed: bool,      // whether the membership changed since the last save
 }
 
+/// An event of the simulation. Events of a process carry the number of its start, and are ignored after another
+/// start.
 enum QueuedEvent {
-    Step(usize),
+    Step(usize), // index of a step of the schedule
     Deliver { to: usize, from: usize, bytes: Vec<u8> },
     Tick(usize),
     Exit(usize, u64),
@@ -64,11 +68,14 @@
 }
 
 impl Node {
+    /// Returns the bytes that all processes of the node have sent.
     fn sent(&self) -> u64 {
         self.sent_before + self.machine.as_ref().map_or(0, |machine| machine.counts().sent_bytes)
     }
 }
 
+/// The state of a simulation. `queue` orders the slots of `events` by time and sequence number; `free` are unused
+/// slots.
 struct Simulator<'a> {
     scenario: &'a Scenario,
     faulty_node: Option<FaultyNode>,
@@ -85,6 +92,7 @@
     now: Nanos,
 }
 
+/// The current views of all nodes. Nodes from `fleet_size` on belong to the other fleet.
 struct NodeViews<'a> {
     nodes: &'a [Node],
     fleet_size: usize,
@@ -118,7 +126,8 @@
     }
 }
 
-/// Plays it, with `double` in place of every node if there is one. The same trial gives the same report.
+/// Runs a scenario in virtual time. If `faulty_node` is given, every node has that defect. The same scenario gives
+/// the same report.
 pub fn simulate(title: &str, scenario: &Scenario, faulty_node: Option<FaultyNode>) -> Result<Report, String> {
     scenario.check()?;
     let steps = steps(scenario)?;
@@ -239,7 +248,7 @@
                 self.handle_event(*node, Event::Leave);
             }
             StepAction::Start(node, contents) => {
-                self.end_process(*node); // one that still leaves is gone by now
+                self.end_process(*node); // a node that is still shutting down has ended by now
                 self.start(*node, *contents);
             }
             StepAction::Pause(node) => self.nodes[*node].paused = true,
@@ -253,7 +262,7 @@
         }
         if let StepAction::Continue(node) = action {
             self.nodes[*node].paused = false;
-            // The kernel has kept what came; the process believes that no time has passed.
+            // The kernel buffered the datagrams; the process does not notice that time has passed.
             while let Some((from, bytes)) = self.nodes[*node].inbox.pop_front() {
                 self.handle_event(*node, Event::Datagram { from, bytes: &bytes });
             }
@@ -262,12 +271,12 @@
     }
 
     fn start(&mut self, node: usize, contents: DiskContents) {
-        let other = (node + 1) % self.scenario.fleet.nodes;
-        let (mine, others) = (&self.nodes[node], &self.nodes[other]);
-        let neighbour = others.disk.clone();
-        mine.disk.start(contents, Some(&neighbour));
-        let (mut saved, faults) = Keeping::new(&mine.name, mine.cluster).start(&mine.disk);
-        let mut delay = mine.disk.operation_delay(SAVE_OPERATIONS);
+        let other_node = (node + 1) % self.scenario.fleet.nodes;
+        let (own, other) = (&self.nodes[node], &self.nodes[other_node]);
+        let other_disk = other.disk.clone();
+        own.disk.start(contents, Some(&other_disk));
+        let (mut saved, faults) = Keeping::new(&own.name, own.cluster).start(&own.disk);
+        let mut delay = own.disk.operation_delay(SAVE_OPERATIONS);
         for fault in faults {
             self.report.add_timeline_entry(self.now, Some(node), format!("fleet.mf: {fault}"));
         }
@@ -289,7 +298,8 @@
         }
     }
 
-    /// The process has what its disk gave, or goes on without.
+    /// Starts the membership of a process with what its disk returned, or with nothing if the disk did not answer in
+    /// time.
     fn start_membership(&mut self, node: usize, start: u64, saved: Saved) {
         let node_state = &mut self.nodes[node];
         if node_state.starts != start || node_state.ended {
@@ -318,7 +328,7 @@
         self.schedule_tick(node);
     }
 
-    /// The process is no more.
+    /// Ends the process of a node.
     fn end_process(&mut self, node: usize) {
         let node_state = &mut self.nodes[node];
         if let Some(machine) = node_state.machine.take() {
@@ -328,6 +338,7 @@
         node_state.inbox.clear();
     }
 
+    /// Starts a save if the membership changed, and schedules the next one.
     fn begin_save(&mut self, node: usize, start: u64) {
         let node_state = &mut self.nodes[node];
         if node_state.starts != start {
@@ -337,12 +348,13 @@
         if node_state.machine.is_some() && node_state.changed && !node_state.paused {
             node_state.changed = false;
             let delay = node_state.disk.operation_delay(SAVE_OPERATIONS);
-            next = next.max(self.now + delay); // one at a time
+            next = next.max(self.now + delay); // one save at a time
             self.push(self.now + delay, QueuedEvent::SaveDone(node, start));
         }
         self.push(next, QueuedEvent::SaveDue(node, start));
     }
 
+    /// Writes the saved view once the disk operations have taken their time.
     fn complete_save(&mut self, node: usize, start: u64) {
         let node_state = &self.nodes[node];
         let Some(machine) = node_state.machine.as_ref().filter(|_| node_state.starts == start) else {
@@ -355,6 +367,7 @@
         }
     }
 
+    /// Passes a datagram to a node, or buffers it while the node is paused.
     fn deliver(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
         let (source, node_state) = (self.nodes[from].address, &mut self.nodes[to]);
         if node_state.paused {
@@ -388,9 +401,9 @@
 
     fn handle_event(&mut self, node: usize, event: Event) {
         let Some(machine) = &mut self.nodes[node].machine else { return };
-        let mut out = Vec::new();
-        machine.handle(self.now, event, &mut out);
-        for action in out {
+        let mut actions = Vec::new();
+        machine.handle(self.now, event, &mut actions);
+        for action in actions {
             match action {
                 Action::Send { to, bytes } => self.send(node, to, bytes),
                 Action::Changed(change) => self.handle_change(node, &change),
@@ -411,6 +424,7 @@
         }
     }
 
+    /// Reports a change of a membership to the invariants and the timeline.
     fn handle_change(&mut self, node: usize, change: &Change) {
         if node >= self.scenario.fleet.nodes {
             return;
@@ -431,6 +445,7 @@
         self.report.add_timeline_entry(self.now, Some(node), what);
     }
 
+    /// Schedules the next tick of a node unless an earlier one is scheduled.
     fn schedule_tick(&mut self, node: usize) {
         let node_state = &mut self.nodes[node];
         let due = node_state.machine.as_ref().and_then(Membership::due);
@@ -443,6 +458,7 @@
         }
     }
 
+    /// Samples all views and schedules the next sample.
     fn sample(&mut self) {
         if self.now <= FORMATION_TIME {
             self.nodes.iter_mut().for_each(|node| node.sent_starting = node.sent());
--- a/crates/fault-injection/tests/catalogue.rs
+++ b/crates/fault-injection/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The kept trials in virtual time, and doubles that have to break them.
+//! The shipped scenarios in virtual time, and faulty nodes that must violate their invariants.
 
 use merlinfold_fault_injection::faulty_node::FaultyNode;
 use merlinfold_fault_injection::scenario::Scenario;
@@ -8,34 +8,34 @@
     Scenario { seed, ..catalogue::find(name).unwrap() }
 }
 
-/// Every kept trial, over seeds that are few enough for each run of the tests.
+/// The number of seeds is small enough for the regular tests.
 #[test]
-fn every_kept_trial_keeps_all_laws() {
-    let mut broken = Vec::new();
+fn every_scenario_keeps_all_invariants() {
+    let mut failures = Vec::new();
     let short = catalogue::SCENARIOS.iter().filter(|(name, _)| !catalogue::find(name).unwrap().manual_only);
     for (name, _) in short {
         for seed in 1..=4 {
             let report = virtual_time::simulate(name, &with_seed(name, seed), None).unwrap();
             if !report.violations.is_empty() {
-                broken.push(report.text());
+                failures.push(report.text());
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Guards replay: a seed is one report, to the byte, and another seed is another.
+/// The same seed gives the same report to the byte, and another seed gives another one.
 #[test]
-fn a_seed_is_one_report_to_the_byte() {
+fn a_seed_gives_the_same_report_to_the_byte() {
     let report =
         |seed| virtual_time::simulate("all", &with_seed("all-heals-at-once", seed), None).unwrap().json();
     assert_eq!(report(3), report(3));
     assert_ne!(report(3), report(4));
 }
 
-/// Guards the laws themselves: each planted defect breaks the one that is there for it.
+/// Each planted defect violates the invariant that must detect it, so the invariants are known to work.
 #[test]
-fn each_double_is_caught_by_its_law() {
+fn each_faulty_node_violates_its_invariant() {
     for ((faulty_node, invariant), name) in
         FaultyNode::ALL.into_iter().zip(["machine-drops", "lossy-fleet", "strangers", "machine-drops"])
     {
@@ -43,22 +43,25 @@
             let report = virtual_time::simulate(name, &with_seed(name, seed), Some(faulty_node)).unwrap();
             report.violations.iter().any(|violation| violation.invariant == invariant)
         });
-        assert!(caught, "{faulty_node:?} is not caught by {invariant:?} on {name}");
+        assert!(caught, "{faulty_node:?} does not violate {invariant:?} in {name}");
     }
 }
 
 #[test]
-fn what_cannot_be_played_is_named_by_line_and_field() {
+fn errors_of_invalid_scenarios_name_the_field() {
     let base = "question = \"q\"\nseconds = 10.0\n[fleet]\nnodes = 3\nzones = [\"a\"]\n";
-    for (more, says) in [
-        ("[[fault]]\nat = 1.0\nkind = \"kill\"\nwho = \"node:7\"\n", "fault.0: \"node:7\": nobody is meant"),
+    for (addition, expected) in [
+        (
+            "[[fault]]\nat = 1.0\nkind = \"kill\"\nwho = \"node:7\"\n",
+            "fault.0: \"node:7\": no node or server matches",
+        ),
         ("[[fault]]\nat = 9.0\nlasts = 5.0\nkind = \"pause\"\nwho = \"all\"\n", "not within the 10 s"),
         ("[[fault]]\nat = 1.0\nkind = \"melt\"\nwho = \"all\"\n", "melt"),
         ("[[fault]]\nat = 1.0\nkind = \"pause\"\nwho = \"all\"\nwhom = 1\n", "whom"),
         ("[network]\nloss = 1.0\n", "network.loss"),
         ("[rules]\ndetect = 1.0\n", "rules.detect"),
     ] {
-        let fault = Scenario::parse(&format!("{base}{more}")).unwrap_err();
-        assert!(fault.contains(says), "{more}: {fault}");
+        let error = Scenario::parse(&format!("{base}{addition}")).unwrap_err();
+        assert!(error.contains(expected), "{addition}: {error}");
     }
 }
--- a/crates/fault-injection/tests/configuration.rs
+++ b/crates/fault-injection/tests/configuration.rs
@@ -1,7 +1,9 @@
-//! Distribution of configuration over drawn worlds. `CONFIGURATION_SEEDS=1000 CONFIGURATION_FROM=1000
-//! CONFIGURATION_NODES=20 cargo test -p merlinfold-fault-injection --test configuration -- --nocapture drawn` plays 1,000 of each
-//! kind, and of `CONFIGURATION_KIND=Calm,Burst` only these; `CONFIGURATION_WORLD=44,20,Burst cargo test -p merlinfold-fault-injection --test configuration -- --nocapture --ignored
-//! show` tells what happens in one.
+//! The distribution of configuration under generated scenarios.
+//!
+//! `CONFIGURATION_SEEDS=1000 CONFIGURATION_FROM=1000 CONFIGURATION_NODES=20 cargo test -p merlinfold-fault-injection
+//! --test configuration -- --nocapture generated` runs 1,000 scenarios of each kind, or only of the kinds in
+//! `CONFIGURATION_KIND=Calm,Burst`. `CONFIGURATION_WORLD=44,20,Burst cargo test -p merlinfold-fault-injection --test
+//! configuration -- --nocapture --ignored show` prints the events of one.
 
 use std::collections::BTreeMap;
 
@@ -20,13 +22,13 @@
     all.get(((all.len().max(1) - 1) as f64 * share) as usize).map_or(0.0, |nanos| *nanos as f64 / 1e9)
 }
 
-/// Plays worlds of one kind; says how they went, and which broke a law.
+/// Runs scenarios of one kind, prints a summary and returns the violations.
 fn search(seeds: std::ops::Range<u64>, nodes: usize, kind: ScenarioKind) -> Vec<String> {
-    let mut broken = Vec::new();
+    let mut failures = Vec::new();
     let all: Vec<RunOutcome> =
         seeds.clone().map(|seed| simulate(&generate(seed, nodes, kind), None, false).unwrap()).collect();
     for (seed, outcome) in seeds.zip(&all) {
-        broken.extend(
+        failures.extend(
             outcome
                 .violations
                 .iter()
@@ -39,36 +41,34 @@
         outcome
             .failed_publications
             .iter()
-            .for_each(|(why, count)| *failed.entry(why.clone()).or_insert(0) += count);
-        outcome.notes.iter().for_each(|(why, count)| *notes.entry(*why).or_insert(0) += count);
+            .for_each(|(reason, count)| *failed.entry(reason.clone()).or_insert(0) += count);
+        outcome.notes.iter().for_each(|(reason, count)| *notes.entry(*reason).or_insert(0) += count);
     }
-    let sum = |node_state: fn(&RunOutcome) -> f64| {
-        all.iter().map(node_state).sum::<f64>() / all.len().max(1) as f64
-    };
+    let mean = |figure: fn(&RunOutcome) -> f64| all.iter().map(figure).sum::<f64>() / all.len().max(1) as f64;
     let times: Vec<u64> = all.iter().flat_map(|outcome| outcome.apply_latencies.iter().copied()).collect();
     let to_all: Vec<u64> =
         all.iter().flat_map(|outcome| outcome.slowest_apply_latencies.iter().copied()).collect();
     println!(
-        "{nodes} nodes, {kind:?}: {} worlds, {} broken; {} confirmed; in force after s: median {:.2}, 99th {:.2}, most \
-         {:.2}; at all: median {:.2}, 99th {:.2}; {:.0} bytes/s a node, {:.0} the busiest voter; unknown {:.4}; failed \
-         {failed:?}; notes {notes:?}",
+        "{nodes} nodes, {kind:?}: {} scenarios, {} failed; {} confirmed; in force after s: median {:.2}, 99th {:.2}, \
+         max {:.2}; at all nodes: median {:.2}, 99th {:.2}; {:.0} bytes/s per node, {:.0} at the busiest voter; \
+         unknown {:.4}; failed {failed:?}; notes {notes:?}",
         all.len(),
-        broken.len(),
+        failures.len(),
         all.iter().map(|outcome| outcome.confirmed).sum::<usize>(),
         percentile(&times, 0.5),
         percentile(&times, 0.99),
         percentile(&times, 1.0),
         percentile(&to_all, 0.5),
         percentile(&to_all, 0.99),
-        sum(|outcome| outcome.bytes_s),
-        sum(|outcome| outcome.voter_bytes_s),
-        sum(|outcome| outcome.unknown_share),
+        mean(|outcome| outcome.bytes_s),
+        mean(|outcome| outcome.voter_bytes_s),
+        mean(|outcome| outcome.unknown_share),
     );
-    broken
+    failures
 }
 
 #[test]
-fn drawn_worlds_keep_the_laws() {
+fn generated_scenarios_keep_the_invariants() {
     let seeds = variable("CONFIGURATION_SEEDS").unwrap_or(3);
     let from = variable("CONFIGURATION_FROM").unwrap_or(0);
     let nodes = variable("CONFIGURATION_NODES").unwrap_or(20) as usize;
@@ -80,24 +80,24 @@
         })
         .collect();
     let kinds = std::sync::Mutex::new(kinds);
-    let work = || {
-        let mut broken = Vec::new();
+    let run_kinds = || {
+        let mut failures = Vec::new();
         loop {
-            let next = kinds.lock().unwrap().pop();
-            let Some(kind) = next else { return broken };
-            broken.extend(search(from..from + seeds, nodes, kind));
+            let kind = kinds.lock().unwrap().pop();
+            let Some(kind) = kind else { return failures };
+            failures.extend(search(from..from + seeds, nodes, kind));
         }
     };
-    let broken: Vec<String> = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
+    let failures: Vec<String> = std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(run_kinds)).collect();
         threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
     });
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Guards the laws themselves: each planted defect breaks the one that is there for it.
+/// Each planted defect violates the invariant that must detect it, so the invariants are known to work.
 #[test]
-fn each_double_is_caught_by_its_law() {
+fn each_defect_violates_its_invariant() {
     for (defect, invariant, kind) in [
         (Defect::AppliesUncommitted, "committed first", ScenarioKind::Faults),
         (Defect::AppliesHalf, "whole and verified", ScenarioKind::Faults),
@@ -109,13 +109,13 @@
             let outcome = simulate(&generate(seed, 9, kind), Some(defect), false).unwrap();
             outcome.violations.iter().any(|violation| violation.invariant == invariant)
         });
-        assert!(caught, "{defect:?} is not caught by {invariant:?}");
+        assert!(caught, "{defect:?} does not violate {invariant:?}");
     }
 }
 
-/// Guards the overview: its bytes do not grow with the fleet, and nearly all nodes are known everywhere.
+/// Reports between nodes do not grow with the fleet, and nearly all nodes are known everywhere.
 #[test]
-fn reports_are_flat_and_reach_everybody() {
+fn report_traffic_is_independent_of_fleet_size_and_reaches_all_nodes() {
     let [small, large] = [60, 120].map(|nodes| {
         std::thread::spawn(move || {
             let mut scenario = generate(1, nodes, ScenarioKind::Calm);
@@ -124,20 +124,20 @@
         })
     });
     let (small, large) = (small.join().unwrap(), large.join().unwrap());
-    assert!(large.bytes_s < 1.15 * small.bytes_s, "{} and {} bytes a second", small.bytes_s, large.bytes_s);
+    assert!(large.bytes_s < 1.15 * small.bytes_s, "{} and {} bytes per second", small.bytes_s, large.bytes_s);
     assert!(large.unknown_share < 0.01, "{} of the members are unknown", large.unknown_share);
 }
 
-/// Guards replay: a world is one history.
+/// The same seed gives the same events, and another seed gives other events.
 #[test]
-fn a_world_is_one_history() {
-    let told = |seed| simulate(&generate(seed, 9, ScenarioKind::Faults), None, true).unwrap().lines;
-    assert_eq!(told(3), told(3));
-    assert_ne!(told(3), told(4));
+fn a_seed_gives_the_same_events() {
+    let events = |seed| simulate(&generate(seed, 9, ScenarioKind::Faults), None, true).unwrap().lines;
+    assert_eq!(events(3), events(3));
+    assert_ne!(events(3), events(4));
 }
 
 #[test]
-#[ignore = "shows one world: CONFIGURATION_WORLD=seed,nodes,kind"]
+#[ignore = "prints one scenario: CONFIGURATION_WORLD=seed,nodes,kind"]
 fn show() {
     let scenario = std::env::var("CONFIGURATION_WORLD").unwrap();
     let parts: Vec<&str> = scenario.split(',').collect();
--- a/crates/fault-injection/tests/invariants.rs
+++ b/crates/fault-injection/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each law is shown to see what it is there for, on views that are made up.
+//! Each invariant detects what it is there for, checked on made-up views.
 
 use std::collections::BTreeSet;
 
@@ -7,15 +7,15 @@
 use merlinfold_fault_injection::schedule::{LinkEffect, StepAction};
 use merlinfold_fault_injection::Scenario;
 
-const S: u64 = 1_000_000_000;
+const SECOND: u64 = 1_000_000_000;
 
-/// What every node is made to see.
+/// The view that every node has of every other one.
 struct FixedViews {
     state: Option<&'static str>,
     majority: bool,
     accusation_count: u64,
-    run: u64,
-    strangers: usize,
+    run_id: u64,
+    foreign_members: usize,
 }
 
 impl Views for FixedViews {
@@ -32,17 +32,19 @@
     }
 
     fn run_id(&self, _: usize) -> Option<u64> {
-        Some(self.run)
+        Some(self.run_id)
     }
 
     fn foreign_members(&self, _: usize) -> usize {
-        self.strangers
+        self.foreign_members
     }
 }
 
-const RIGHT: FixedViews =
-    FixedViews { state: Some("alive"), majority: true, accusation_count: 0, run: 7, strangers: 0 };
+/// The views of a healthy fleet.
+const HEALTHY: FixedViews =
+    FixedViews { state: Some("alive"), majority: true, accusation_count: 0, run_id: 7, foreign_members: 0 };
 
+/// The invariants of a fleet of five nodes, driven by hand.
 struct Fixture {
     actual: ActualState,
     invariants: Vec<Box<dyn Invariant>>,
@@ -73,88 +75,98 @@
         });
     }
 
-    fn moment(&mut self, at: u64, views: &FixedViews) {
+    fn sample(&mut self, at: u64, views: &FixedViews) {
         self.invariants
             .iter_mut()
             .for_each(|invariant| invariant.on_sample(at, &self.actual, views, &mut self.findings));
     }
 
-    fn record_violation(&self) -> BTreeSet<&'static str> {
+    fn violated(&self) -> BTreeSet<&'static str> {
         self.findings.violations.iter().map(|violation| violation.invariant).collect()
     }
 }
 
 #[test]
-fn a_fleet_that_is_right_breaks_nothing() {
+fn a_healthy_fleet_violates_nothing() {
     let mut fixture = Fixture::new();
-    fixture.step(20 * S, &StepAction::Pause(2), &RIGHT);
-    fixture.step(25 * S, &StepAction::Continue(2), &RIGHT);
-    (1..100).for_each(|at| fixture.moment(at * S, &RIGHT));
-    assert_eq!(fixture.record_violation(), BTreeSet::new());
+    fixture.step(20 * SECOND, &StepAction::Pause(2), &HEALTHY);
+    fixture.step(25 * SECOND, &StepAction::Continue(2), &HEALTHY);
+    (1..100).for_each(|at| fixture.sample(at * SECOND, &HEALTHY));
+    assert_eq!(fixture.violated(), BTreeSet::new());
 }
 
 #[test]
-fn each_law_sees_what_it_is_there_for() {
+fn each_invariant_detects_its_violation() {
     let mut fixture = Fixture::new();
-    fixture.change(20 * S, 1, "dead");
-    assert_eq!(fixture.record_violation(), BTreeSet::from(["no false death"]));
+    fixture.change(20 * SECOND, 1, "dead");
+    assert_eq!(fixture.violated(), BTreeSet::from(["no false death"]));
 
     let mut fixture = Fixture::new();
-    fixture.step(20 * S, &StepAction::Kill(1), &RIGHT);
-    fixture.moment(26 * S, &RIGHT);
-    assert!(fixture.record_violation().contains("detection"));
+    fixture.step(20 * SECOND, &StepAction::Kill(1), &HEALTHY);
+    fixture.sample(26 * SECOND, &HEALTHY);
+    assert!(fixture.violated().contains("detection"));
 
     let mut fixture = Fixture::new();
-    (1..12).for_each(|at| fixture.moment(at * S, &FixedViews { state: None, ..RIGHT }));
-    assert_eq!(fixture.record_violation(), BTreeSet::from(["one view"]));
+    (1..12).for_each(|at| fixture.sample(at * SECOND, &FixedViews { state: None, ..HEALTHY }));
+    assert_eq!(fixture.violated(), BTreeSet::from(["one view"]));
 
     let mut fixture = Fixture::new();
-    (0..21).for_each(|n| fixture.change(20 * S + n * S, 1, if n % 2 == 0 { "suspect" } else { "alive" }));
-    assert_eq!(fixture.record_violation(), BTreeSet::from(["no flapping"]));
+    (0..21).for_each(|n| {
+        fixture.change(20 * SECOND + n * SECOND, 1, if n % 2 == 0 { "suspect" } else { "alive" })
+    });
+    assert_eq!(fixture.violated(), BTreeSet::from(["no flapping"]));
 
     let mut fixture = Fixture::new();
     let (from, to) = (BTreeSet::from([0]), BTreeSet::from([1, 2, 3, 4]));
-    fixture.step(20 * S, &StepAction::BeginRule { rule: 0, from, to, effect: LinkEffect::Cut }, &RIGHT);
-    fixture.moment(36 * S, &RIGHT);
+    fixture.step(
+        20 * SECOND,
+        &StepAction::BeginRule { rule: 0, from, to, effect: LinkEffect::Cut },
+        &HEALTHY,
+    );
+    fixture.sample(36 * SECOND, &HEALTHY);
     assert_eq!(
-        fixture.record_violation(),
+        fixture.violated(),
         BTreeSet::from(["small side knows"]),
-        "a node that is cut off says it hears most"
+        "a node that is cut off reports a majority"
     );
 
     let mut fixture = Fixture::new();
-    fixture.moment(20 * S, &FixedViews { majority: false, ..RIGHT });
+    fixture.sample(20 * SECOND, &FixedViews { majority: false, ..HEALTHY });
     assert_eq!(
-        fixture.record_violation(),
+        fixture.violated(),
         BTreeSet::from(["small side knows"]),
-        "nodes that hear all say they do not"
+        "nodes that reach all others report no majority"
     );
 
     let mut fixture = Fixture::new();
-    fixture.moment(S, &FixedViews { strangers: 1, ..RIGHT });
-    assert_eq!(fixture.record_violation(), BTreeSet::from(["no strangers"]));
+    fixture.sample(SECOND, &FixedViews { foreign_members: 1, ..HEALTHY });
+    assert_eq!(fixture.violated(), BTreeSet::from(["no strangers"]));
 
     let mut fixture = Fixture::new();
-    fixture.step(20 * S, &StepAction::Pause(2), &RIGHT);
-    fixture.step(25 * S, &StepAction::Continue(2), &RIGHT);
-    fixture.moment(29 * S, &FixedViews { accusation_count: 1, ..RIGHT });
-    assert_eq!(fixture.record_violation(), BTreeSet::from(["paused is meek"]));
+    fixture.step(20 * SECOND, &StepAction::Pause(2), &HEALTHY);
+    fixture.step(25 * SECOND, &StepAction::Continue(2), &HEALTHY);
+    fixture.sample(29 * SECOND, &FixedViews { accusation_count: 1, ..HEALTHY });
+    assert_eq!(fixture.violated(), BTreeSet::from(["paused is meek"]));
 
-    let again = |run, fault: Option<DiskFault>, kept| {
+    let after_restart = |run_id, fault: Option<DiskFault>, contents| {
         let mut fixture = Fixture::new();
-        fixture.moment(20 * S, &RIGHT);
-        fixture.step(21 * S, &StepAction::SetDiskFault(2, fault), &RIGHT);
-        fixture.step(22 * S, &StepAction::SetDiskFault(2, None), &RIGHT);
-        fixture.step(25 * S, &StepAction::Start(2, kept), &RIGHT);
-        fixture.moment(26 * S, &FixedViews { run, ..RIGHT });
-        fixture.record_violation()
+        fixture.sample(20 * SECOND, &HEALTHY);
+        fixture.step(21 * SECOND, &StepAction::SetDiskFault(2, fault), &HEALTHY);
+        fixture.step(22 * SECOND, &StepAction::SetDiskFault(2, None), &HEALTHY);
+        fixture.step(25 * SECOND, &StepAction::Start(2, contents), &HEALTHY);
+        fixture.sample(26 * SECOND, &FixedViews { run_id, ..HEALTHY });
+        fixture.violated()
     };
-    assert_eq!(again(6, None, DiskContents::Kept), BTreeSet::from(["starts only rise"]));
+    assert_eq!(after_restart(6, None, DiskContents::Kept), BTreeSet::from(["starts only rise"]));
     assert_eq!(
-        again(6, Some(DiskFault::SyncFails), DiskContents::Kept),
+        after_restart(6, Some(DiskFault::SyncFails), DiskContents::Kept),
         BTreeSet::from(["starts only rise"])
     );
-    assert_eq!(again(8, None, DiskContents::Kept), BTreeSet::new());
-    assert_eq!(again(6, None, DiskContents::Empty), BTreeSet::new(), "the disk holds nothing");
-    assert_eq!(again(6, Some(DiskFault::SyncLies), DiskContents::Kept), BTreeSet::new(), "the disk has lied");
+    assert_eq!(after_restart(8, None, DiskContents::Kept), BTreeSet::new());
+    assert_eq!(after_restart(6, None, DiskContents::Empty), BTreeSet::new(), "the disk holds nothing");
+    assert_eq!(
+        after_restart(6, Some(DiskFault::SyncLies), DiskContents::Kept),
+        BTreeSet::new(),
+        "the disk lost confirmed writes"
+    );
 }
