--- a/crates/fault-injection/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that knows what is durable and loses the rest at a crash.
+//! A simulated disk that tracks what is durable and loses the rest at a crash.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,21 +9,21 @@
 use merlinfold_store::Disk;
 use rand::Rng;
 
-use crate::spec::{DiskFault, Kept, SLOW};
+use crate::scenario::{DiskContents, DiskFault, MAX_SLOW_STEP};
 
 type Content = Vec<u8>;
 
 #[derive(Clone, Debug, Default)]
 struct State {
-    seen: BTreeMap<String, (Content, bool)>, // as a running process reads it, and whether the content is durable
-    durable: BTreeMap<String, Content>,      // as a crash leaves it
-    before: BTreeMap<String, Content>,       // the same at the start before
-    at_start: BTreeMap<String, Content>,
+    visible: BTreeMap<String, (Content, bool)>, // as the running process reads it, and whether the content is durable
+    durable: BTreeMap<String, Content>,         // what remains after a crash
+    contents_before_last_start: BTreeMap<String, Content>, // what the last start but one found
+    contents_at_start: BTreeMap<String, Content>, // what the last start found
     fault: Option<DiskFault>,
 }
 
-/// A modelled disk. What was not synced is torn at a drawn byte by a crash; a rename whose folder was not synced may
-/// or may not have happened.
+/// A simulated disk. A crash truncates content that was not synced at a random byte; a rename whose folder was not
+/// synced may or may not have happened.
 #[derive(Clone, Debug)]
 pub struct ModelDisk {
     state: RefCell<State>,
@@ -31,64 +31,70 @@
 }
 
 impl ModelDisk {
-    /// An empty one.
+    /// Creates an empty disk. `seed` and `number` determine its random choices.
     pub fn new(seed: u64, number: u64) -> Self {
         ModelDisk { state: RefCell::default(), stream: RefCell::new(Seed(seed).stream("disk", number)) }
     }
 
-    /// From now on it does this wrong, or nothing.
-    pub fn set(&self, fault: Option<DiskFault>) {
+    /// Sets or clears the disk's fault.
+    pub fn set_fault(&self, fault: Option<DiskFault>) {
         self.state.borrow_mut().fault = fault;
     }
 
-    /// How long so many steps take.
-    pub fn takes(&self, steps: usize) -> Nanos {
+    /// Returns how long `steps` operations take: nothing, except on a slow disk.
+    pub fn operation_delay(&self, steps: usize) -> Nanos {
         match self.state.borrow().fault {
-            Some(DiskFault::Slow) => (0..steps).map(|_| self.stream.borrow_mut().random_range(0..SLOW)).sum(),
+            Some(DiskFault::Slow) => {
+                (0..steps).map(|_| self.stream.borrow_mut().random_range(0..MAX_SLOW_STEP)).sum()
+            }
             _ => 0,
         }
     }
 
-    /// The machine ends without a word.
+    /// Simulates a crash of the machine: whatever is not durable may be lost.
     pub fn crash(&self) {
         let mut state = self.state.borrow_mut();
         let mut stream = self.stream.borrow_mut();
-        let mut left = state.durable.clone();
-        for (name, (content, synced)) in &state.seen {
+        let mut remaining = state.durable.clone();
+        for (name, (content, synced)) in &state.visible {
             if state.durable.get(name) == Some(content) {
                 continue;
             }
-            // The name may have reached the disk without the folder's sync; the content only as far as it got.
+            // The name may have reached the disk without a sync of the folder; unsynced content only in part.
             if stream.random::<bool>() {
-                let whole = if *synced { content.len() } else { stream.random_range(0..=content.len()) };
-                left.insert(name.clone(), content[..whole].to_vec());
+                let length = if *synced { content.len() } else { stream.random_range(0..=content.len()) };
+                remaining.insert(name.clone(), content[..length].to_vec());
             }
         }
-        state.seen = left.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
-        state.durable = left;
+        state.visible =
+            remaining.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
+        state.durable = remaining;
     }
 
-    /// What the next start finds. `other` is the disk of another node.
-    pub fn start(&self, kept: Kept, other: Option<&ModelDisk>) {
+    /// Sets what the next start finds. `other` is the disk of another node, for [`DiskContents::Foreign`].
+    pub fn start(&self, contents: DiskContents, other: Option<&ModelDisk>) {
         let mut state = self.state.borrow_mut();
         let mut stream = self.stream.borrow_mut();
-        let mut found = match kept {
-            Kept::Empty => BTreeMap::new(),
-            Kept::Yesterday => state.before.clone(),
-            Kept::Foreign => other.map(|disk| disk.state.borrow().durable.clone()).unwrap_or_default(),
-            Kept::Kept | Kept::Torn | Kept::Flipped => state.durable.clone(),
+        let mut stored = match contents {
+            DiskContents::Empty => BTreeMap::new(),
+            DiskContents::Yesterday => state.contents_before_last_start.clone(),
+            DiskContents::Foreign => {
+                other.map(|disk| disk.state.borrow().durable.clone()).unwrap_or_default()
+            }
+            DiskContents::Kept | DiskContents::Torn | DiskContents::Flipped => state.durable.clone(),
         };
-        for content in found.values_mut().filter(|content| !content.is_empty()) {
+        for content in stored.values_mut().filter(|content| !content.is_empty()) {
             let at = stream.random_range(0..content.len());
-            match kept {
-                Kept::Torn => content.truncate(at),
-                Kept::Flipped => content[at] ^= 1 << stream.random_range(0..8),
+            match contents {
+                DiskContents::Torn => content.truncate(at),
+                DiskContents::Flipped => content[at] ^= 1 << stream.random_range(0..8),
                 _ => {}
             }
         }
-        state.before = std::mem::replace(&mut state.at_start, found.clone());
-        state.seen = found.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
-        state.durable = found;
+        state.contents_before_last_start = std::mem::replace(&mut state.contents_at_start, stored.clone());
+        state.visible =
+            stored.iter().map(|(name, content)| (name.clone(), (content.clone(), true))).collect();
+        state.durable = stored;
     }
 }
 
@@ -98,7 +104,7 @@
         match state.fault {
             Some(DiskFault::Gone) => Err(ErrorKind::NotADirectory.into()),
             Some(DiskFault::ReadFails) => Err(io::Error::other("the device reports an error")),
-            _ => Ok(state.seen.get(name).map(|(content, _)| content.clone())),
+            _ => Ok(state.visible.get(name).map(|(content, _)| content.clone())),
         }
     }
 
@@ -107,12 +113,12 @@
         match state.fault {
             Some(DiskFault::Gone) => Err(ErrorKind::NotADirectory.into()),
             Some(fault @ (DiskFault::Full | DiskFault::Limited)) => {
-                state.seen.insert(name.to_owned(), (Vec::new(), false));
+                state.visible.insert(name.to_owned(), (Vec::new(), false));
                 let limited = fault == DiskFault::Limited;
                 Err(if limited { ErrorKind::FileTooLarge } else { ErrorKind::StorageFull }.into())
             }
             _ => {
-                state.seen.insert(name.to_owned(), (bytes.to_vec(), false));
+                state.visible.insert(name.to_owned(), (bytes.to_vec(), false));
                 Ok(())
             }
         }
@@ -126,7 +132,7 @@
             Some(DiskFault::SyncLies) => return Ok(()),
             _ => {}
         }
-        if let Some((_, synced)) = state.seen.get_mut(name) {
+        if let Some((_, synced)) = state.visible.get_mut(name) {
             *synced = true;
         }
         Ok(())
@@ -137,8 +143,8 @@
         if state.fault == Some(DiskFault::Gone) {
             return Err(ErrorKind::NotADirectory.into());
         }
-        let content = state.seen.remove(from).ok_or(ErrorKind::NotFound)?;
-        state.seen.insert(to.to_owned(), content);
+        let content = state.visible.remove(from).ok_or(ErrorKind::NotFound)?;
+        state.visible.insert(to.to_owned(), content);
         Ok(())
     }
 
@@ -152,8 +158,8 @@
         }
         let state = &mut *state;
         let old = std::mem::take(&mut state.durable);
-        for (name, (content, synced)) in &state.seen {
-            // A name is durable now; its content only if it was synced.
+        for (name, (content, synced)) in &state.visible {
+            // The name becomes durable now, the content only if it was synced.
             let content = if *synced { content.clone() } else { old.get(name).cloned().unwrap_or_default() };
             state.durable.insert(name.clone(), content);
         }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,34 +1,35 @@
-//! Trials of a whole fleet: what fails between its processes, by one schedule on two clocks, and the laws that have
-//! to hold all the while.
+//! Fault injection for a whole fleet: a scenario schedules faults of the processes, links and disks of a fleet, and
+//! invariants are checked while it runs.
 //!
-//! A [`Trial`] says how large the fleet is, how its network is and what fails when. Its seed draws it into timed
-//! [`schedule::Step`]s. [`virtual_time`] plays them around the product's own pure machines on a modelled network and
-//! disk; the lab plays the same steps on processes. Either tells the [`laws`] what happens, and they judge.
+//! A [`Scenario`] gives the size of the fleet, its network and its faults. [`schedule::steps`] turns the scenario and
+//! its seed into timed [`schedule::Step`]s. [`virtual_time`] runs these steps against the product's own state
+//! machines, with a simulated network and disk; the lab runs the same steps against real processes. Both report what
+//! happens to the [`invariants`], which decide whether the run passes.
 //!
-//! Nothing here does input or output or reads a clock. It shows nothing of the kernel, of sockets or of processor
-//! time: that is what the other clock is for.
+//! This package does no input or output and reads no clock. Effects of the kernel, of sockets and of processor time
+//! therefore only show in runs on real processes.
 //!
 //! ```
-//! let trial = merlinfold_fault_injection::catalogue::find("machine-drops").unwrap();
-//! let first = merlinfold_fault_injection::virtual_time::play("machine-drops", &trial, None).unwrap();
-//! let again = merlinfold_fault_injection::virtual_time::play("machine-drops", &trial, None).unwrap();
-//! assert_eq!(first.breaches, []);
+//! let scenario = merlinfold_fault_injection::catalogue::find("machine-drops").unwrap();
+//! let first = merlinfold_fault_injection::virtual_time::simulate("machine-drops", &scenario, None).unwrap();
+//! let again = merlinfold_fault_injection::virtual_time::simulate("machine-drops", &scenario, None).unwrap();
+//! assert_eq!(first.violations, []);
 //! assert_eq!(first.json(), again.json());
 //! ```
 
-pub mod agreed;
 pub mod catalogue;
 pub mod configuration;
 pub mod disk;
-pub mod doubles;
+pub mod faulty_node;
 pub mod html;
-pub mod laws;
+pub mod invariants;
 pub mod link;
+pub mod replicated_log;
 pub mod report;
 pub mod scale;
+pub mod scenario;
 pub mod schedule;
 pub mod shrink;
-pub mod spec;
 pub mod virtual_time;
 
-pub use spec::Trial;
+pub use scenario::Scenario;
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,4 +1,4 @@
-//! From a trial and its seed to timed steps.
+//! Turns a scenario and its seed into a list of timed steps.
 
 use std::collections::BTreeSet;
 
@@ -6,107 +6,108 @@
 use merlinfold_simulation::{Nanos, SECOND};
 use rand::seq::SliceRandom;
 
-use crate::spec::{DiskFault, Kept, Side, Trial, What, SERVERS};
+use crate::scenario::{DiskContents, DiskFault, EndpointSelection, FaultKind, Scenario, FIRST_SERVER};
 
-/// Nodes of one side.
-pub type Nodes = BTreeSet<usize>;
+/// Endpoints on one side of a link rule: node numbers, and the numbers of guide servers, of discovery and of clients.
+pub type EndpointSet = BTreeSet<usize>;
 
-/// What a link does while a fault is on.
+/// What a link does while a fault is active. The variant names appear in reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum LinkEffect {
     /// Passes nothing.
     Cut,
-    /// Passes nothing, and resets connections.
+    /// Passes nothing and resets connections.
     Reset,
-    /// Loses this share.
+    /// Loses this share of datagrams.
     Thin(f64),
-    /// Takes longer: at least this, and up to this much more, in milliseconds.
+    /// Adds at least the first number of milliseconds, plus up to the second number at random.
     Delay(f64, f64),
-    /// Passes so many bytes a second.
+    /// Passes this many bytes a second.
     Throttle(f64),
-    /// Passes this share twice.
+    /// Delivers this share of datagrams twice.
     Duplicate(f64),
 }
 
-impl Effect {
-    /// Whether a node may be held dead for it.
-    pub fn is_hard(self) -> bool {
+impl LinkEffect {
+    /// Returns whether the effect is severe enough that a healthy node may be declared dead because of it.
+    pub fn may_cause_death_report(self) -> bool {
         match self {
-            Effect::Cut | Effect::Reset | Effect::Throttle(_) => true,
-            Effect::Thin(loss) => loss > 0.25,
-            Effect::Delay(ms, jitter) => ms + jitter > 20.0,
-            Effect::Duplicate(_) => false,
+            LinkEffect::Cut | LinkEffect::Reset | LinkEffect::Throttle(_) => true,
+            LinkEffect::Thin(loss) => loss > 0.25,
+            LinkEffect::Delay(ms, jitter) => ms + jitter > 20.0,
+            LinkEffect::Duplicate(_) => false,
         }
     }
 }
 
-/// Something to be done.
+/// A single action of the schedule.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
-    /// Kill a node outright.
+pub enum StepAction {
+    /// Kill the node's process without warning.
     Kill(usize),
-    /// Tell a node to end.
+    /// Ask the node to shut down.
     Stop(usize),
-    /// Start a node whose disk holds this.
-    Start(usize, Kept),
-    /// Stop a node's processor.
+    /// Start the node with these disk contents.
+    Start(usize, DiskContents),
+    /// Suspend the node's process.
     Pause(usize),
-    /// And let it go on.
+    /// Resume the node's process.
     Continue(usize),
-    /// Links from these to those do this from now on.
-    Begin {
-        /// Number of the rule, to end it by.
+    /// Apply an effect to all links from one set of endpoints to another.
+    BeginRule {
+        /// Number that the matching [`StepAction::EndRule`] uses.
         rule: usize,
-        /// Senders.
-        from: Nodes,
-        /// Receivers.
-        to: Nodes,
-        /// What.
-        effect: Effect,
+        /// Sending endpoints.
+        from: EndpointSet,
+        /// Receiving endpoints.
+        to: EndpointSet,
+        /// Effect on these links.
+        effect: LinkEffect,
     },
-    /// A rule ends.
-    End(usize),
-    /// A disk does this from now on, or nothing wrong any more.
-    Disk(usize, Option<DiskFault>),
+    /// End the link rule with this number.
+    EndRule(usize),
+    /// Give the node's disk this fault, or repair it.
+    SetDiskFault(usize, Option<DiskFault>),
 }
 
-impl Do {
-    /// In a line of a report.
-    pub fn text(&self) -> String {
+impl StepAction {
+    /// Returns a description for the timeline of a report.
+    pub fn description(&self) -> String {
         match self {
-            Do::Kill(node) => format!("n{node} is killed"),
-            Do::Stop(node) => format!("n{node} is told to end"),
-            Do::Start(node, kept) => format!("n{node} starts, disk {kept:?}"),
-            Do::Pause(node) => format!("n{node} is paused"),
-            Do::Continue(node) => format!("n{node} goes on"),
-            Do::Begin { from, to, effect, .. } => {
+            StepAction::Kill(node) => format!("n{node} is killed"),
+            StepAction::Stop(node) => format!("n{node} is asked to shut down"),
+            StepAction::Start(node, contents) => format!("n{node} starts, disk {contents:?}"),
+            StepAction::Pause(node) => format!("n{node} is paused"),
+            StepAction::Continue(node) => format!("n{node} resumes"),
+            StepAction::BeginRule { from, to, effect, .. } => {
                 format!("links of {} to {} nodes: {effect:?}", from.len(), to.len())
             }
-            Do::End(rule) => format!("rule {rule} of links ends"),
-            Do::Disk(node, fault) => format!("disk of n{node}: {fault:?}"),
+            StepAction::EndRule(rule) => format!("link rule {rule} ends"),
+            StepAction::SetDiskFault(node, fault) => format!("disk of n{node}: {fault:?}"),
         }
     }
 }
 
-/// A step and its time.
+/// An action and when it happens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When.
+    /// Time since the start of the run.
     pub at: Nanos,
-    /// What.
-    pub what: Do,
+    /// Action to carry out.
+    pub action: StepAction,
 }
 
-/// Seconds of a trial file as nanoseconds.
+/// Converts seconds of a scenario file to nanoseconds.
 pub fn nanos(seconds: f64) -> Nanos {
     (seconds * SECOND as f64) as Nanos
 }
 
-fn draw(side: Side, count: usize, stream: &mut Stream) -> Nodes {
+/// Returns the endpoints of a selection; a share is sampled from the fleet's `count` nodes.
+fn select_endpoints(side: EndpointSelection, count: usize, stream: &mut Stream) -> EndpointSet {
     match side {
-        Side::These(nodes) => nodes.into_iter().collect(),
-        Side::Rest => Nodes::new(),
-        Side::Share(share) => {
+        EndpointSelection::Listed(nodes) => nodes.into_iter().collect(),
+        EndpointSelection::Rest => EndpointSet::new(),
+        EndpointSelection::Share(share) => {
             let mut all: Vec<usize> = (0..count).collect();
             all.shuffle(stream);
             all.truncate((share * count as f64).round() as usize);
@@ -115,81 +116,84 @@
     }
 }
 
-/// Of a side those that are processes of the fleet.
-fn only_nodes(side: Nodes) -> Nodes {
-    side.into_iter().filter(|&end| end < SERVERS).collect()
+/// Returns those endpoints that are nodes of the fleet.
+fn only_nodes(side: EndpointSet) -> EndpointSet {
+    side.into_iter().filter(|&endpoint| endpoint < FIRST_SERVER).collect()
 }
 
-/// All steps of a trial, in order of time; the same for the same seed.
-pub fn steps(trial: &Trial) -> Result<Vec<Step>, String> {
-    let count = trial.fleet.nodes;
+/// Returns all steps of a scenario in order of time. The same seed gives the same steps.
+pub fn steps(scenario: &Scenario) -> Result<Vec<Step>, String> {
+    let count = scenario.fleet.nodes;
     let mut steps: Vec<Step> = Vec::new();
-    for (n, fault) in trial.faults.iter().enumerate() {
-        // A stream for each fault: shrinking one away leaves the draws of the others.
-        let mut stream = Seed(trial.seed).stream("fault", n as u64);
-        let (begins, ends) = (nanos(fault.at), fault.lasts.map(|lasts| nanos(fault.at + lasts)));
-        let mut ends_of = |side: &str| trial.members(side).map(|side| draw(side, count, &mut stream));
-        let mut add = |at: Nanos, what: Do| steps.push(Step { at, what });
-        let ends = |add: &mut dyn FnMut(Nanos, Do), what: Do| {
-            if let Some(at) = ends {
-                add(at, what);
+    for (index, fault) in scenario.faults.iter().enumerate() {
+        // Each fault has its own random stream, so removing one fault while shrinking does not change the others.
+        let mut stream = Seed(scenario.seed).stream("fault", index as u64);
+        let (start, end) = (nanos(fault.at), fault.duration.map(|duration| nanos(fault.at + duration)));
+        let mut endpoints_of =
+            |side: &str| scenario.select(side).map(|side| select_endpoints(side, count, &mut stream));
+        let mut add = |at: Nanos, action: StepAction| steps.push(Step { at, action });
+        let add_at_end = |add: &mut dyn FnMut(Nanos, StepAction), action: StepAction| {
+            if let Some(at) = end {
+                add(at, action);
             }
         };
-        let (from, to, effects) = match &fault.what {
-            What::Kill { who: side, disk } => {
-                for node in only_nodes(ends_of(side)?) {
-                    add(begins, Do::Kill(node));
-                    ends(&mut add, Do::Start(node, *disk));
+        let (from, to, effect) = match &fault.kind {
+            FaultKind::Kill { who: side, disk } => {
+                for node in only_nodes(endpoints_of(side)?) {
+                    add(start, StepAction::Kill(node));
+                    add_at_end(&mut add, StepAction::Start(node, *disk));
                 }
                 continue;
             }
-            What::Roll { who: side, every } => {
-                for (turn, node) in only_nodes(ends_of(side)?).into_iter().enumerate() {
-                    let at = begins + nanos(every * turn as f64);
-                    add(at, Do::Stop(node));
-                    add(at + nanos(0.7 * every), Do::Start(node, Kept::Kept));
+            FaultKind::Roll { who: side, every } => {
+                for (position, node) in only_nodes(endpoints_of(side)?).into_iter().enumerate() {
+                    let at = start + nanos(every * position as f64);
+                    add(at, StepAction::Stop(node));
+                    add(at + nanos(0.7 * every), StepAction::Start(node, DiskContents::Kept));
                 }
                 continue;
             }
-            What::Pause { who: side } => {
-                for node in only_nodes(ends_of(side)?) {
-                    add(begins, Do::Pause(node));
-                    ends(&mut add, Do::Continue(node));
+            FaultKind::Pause { who: side } => {
+                for node in only_nodes(endpoints_of(side)?) {
+                    add(start, StepAction::Pause(node));
+                    add_at_end(&mut add, StepAction::Continue(node));
                 }
                 continue;
             }
-            What::Disk { who: side, does } => {
-                for node in only_nodes(ends_of(side)?) {
-                    add(begins, Do::Disk(node, Some(*does)));
-                    ends(&mut add, Do::Disk(node, None));
+            FaultKind::Disk { who: side, does } => {
+                for node in only_nodes(endpoints_of(side)?) {
+                    add(start, StepAction::SetDiskFault(node, Some(*does)));
+                    add_at_end(&mut add, StepAction::SetDiskFault(node, None));
                 }
                 continue;
             }
-            What::Cut { from, to, .. } => (from, to, Effect::Cut),
-            What::Reset { from, to } => (from, to, Effect::Reset),
-            What::Thin { from, to, loss } => (from, to, Effect::Thin(*loss)),
-            What::Delay { from, to, ms, jitter_ms } => (from, to, Effect::Delay(*ms, *jitter_ms)),
-            What::Throttle { from, to, bytes_s } => (from, to, Effect::Throttle(*bytes_s)),
-            What::Duplicate { from, to, share } => (from, to, Effect::Duplicate(*share)),
+            FaultKind::Cut { from, to, .. } => (from, to, LinkEffect::Cut),
+            FaultKind::Reset { from, to } => (from, to, LinkEffect::Reset),
+            FaultKind::Thin { from, to, loss } => (from, to, LinkEffect::Thin(*loss)),
+            FaultKind::Delay { from, to, ms, jitter_ms } => (from, to, LinkEffect::Delay(*ms, *jitter_ms)),
+            FaultKind::Throttle { from, to, bytes_s } => (from, to, LinkEffect::Throttle(*bytes_s)),
+            FaultKind::Duplicate { from, to, share } => (from, to, LinkEffect::Duplicate(*share)),
+        };
+        let one_way = matches!(&fault.kind, FaultKind::Cut { one_way: true, .. });
+        let (mut left, mut right) = (endpoints_of(from)?, endpoints_of(to)?);
+        let rest = |side: &EndpointSet| {
+            scenario.endpoints().filter(|endpoint| !side.contains(endpoint)).collect::<EndpointSet>()
         };
-        let one_way = matches!(&fault.what, What::Cut { one_way: true, .. });
-        let (mut left, mut right) = (ends_of(from)?, ends_of(to)?);
-        let rest = |of: &Nodes| trial.ends().filter(|end| !of.contains(end)).collect::<Nodes>();
         if from == "rest" {
             left = rest(&right);
         }
         if to == "rest" {
             right = rest(&left);
         }
-        for (way, (from, to)) in [(&left, &right), (&right, &left)].into_iter().enumerate() {
-            if way == 1 && one_way {
+        for (direction, (from, to)) in [(&left, &right), (&right, &left)].into_iter().enumerate() {
+            if direction == 1 && one_way {
                 continue;
             }
-            let rule = 2 * n + way;
-            add(begins, Do::Begin { rule, from: from.clone(), to: to.clone(), effect: effects });
-            ends(&mut add, Do::End(rule));
+            let rule = 2 * index + direction;
+            add(start, StepAction::BeginRule { rule, from: from.clone(), to: to.clone(), effect });
+            add_at_end(&mut add, StepAction::EndRule(rule));
         }
     }
-    steps.sort_by_key(|step| step.at); // stable: faults of one moment stay in the order of the file
+    steps.sort_by_key(|step| step.at); // The sort is stable: simultaneous faults stay in the order of the file.
     Ok(steps)
 }
--- a/crates/fault-injection/tests/configuration.rs
+++ b/crates/fault-injection/tests/configuration.rs
@@ -1,12 +1,14 @@
-//! Distribution of configuration over drawn worlds. `CONFIGURATION_SEEDS=1000 CONFIGURATION_FROM=1000
-//! CONFIGURATION_NODES=20 cargo test -p merlinfold-fault-injection --test configuration -- --nocapture drawn` plays 1,000 of each
-//! kind, and of `CONFIGURATION_KIND=Calm,Burst` only these; `CONFIGURATION_WORLD=44,20,Burst cargo test -p merlinfold-fault-injection --test configuration -- --nocapture --ignored
-//! show` tells what happens in one.
+//! The distribution of configuration under generated scenarios.
+//!
+//! `CONFIGURATION_SEEDS=1000 CONFIGURATION_FROM=1000 CONFIGURATION_NODES=20 cargo test -p merlinfold-fault-injection
+//! --test configuration -- --nocapture generated` runs 1,000 scenarios of each kind, or only of the kinds in
+//! `CONFIGURATION_KIND=Calm,Burst`. `CONFIGURATION_WORLD=44,20,Burst cargo test -p merlinfold-fault-injection --test
+//! configuration -- --nocapture --ignored show` prints the events of one.
 
 use std::collections::BTreeMap;
 
 use merlinfold_distribution::Defect;
-use merlinfold_fault_injection::configuration::{draw, play, Kind, Played};
+use merlinfold_fault_injection::configuration::{generate, simulate, RunOutcome, ScenarioKind};
 
 const THREADS: usize = 3;
 
@@ -20,119 +22,127 @@
     all.get(((all.len().max(1) - 1) as f64 * share) as usize).map_or(0.0, |nanos| *nanos as f64 / 1e9)
 }
 
-/// Plays worlds of one kind; says how they went, and which broke a law.
-fn search(seeds: std::ops::Range<u64>, nodes: usize, kind: Kind) -> Vec<String> {
-    let mut broken = Vec::new();
-    let all: Vec<Played> =
-        seeds.clone().map(|seed| play(&draw(seed, nodes, kind), None, false).unwrap()).collect();
-    for (seed, played) in seeds.zip(&all) {
-        broken.extend(
-            played.breaches.iter().take(1).map(|breach| format!("{seed},{nodes},{kind:?}: {breach:?}")),
+/// Runs scenarios of one kind, prints a summary and returns the violations.
+fn search(seeds: std::ops::Range<u64>, nodes: usize, kind: ScenarioKind) -> Vec<String> {
+    let mut failures = Vec::new();
+    let all: Vec<RunOutcome> =
+        seeds.clone().map(|seed| simulate(&generate(seed, nodes, kind), None, false).unwrap()).collect();
+    for (seed, outcome) in seeds.zip(&all) {
+        failures.extend(
+            outcome
+                .violations
+                .iter()
+                .take(1)
+                .map(|violation| format!("{seed},{nodes},{kind:?}: {violation:?}")),
         );
     }
     let (mut failed, mut notes) = (BTreeMap::new(), BTreeMap::new());
-    for played in &all {
-        played.failed.iter().for_each(|(why, count)| *failed.entry(why.clone()).or_insert(0) += count);
-        played.notes.iter().for_each(|(why, count)| *notes.entry(*why).or_insert(0) += count);
+    for outcome in &all {
+        outcome
+            .failed_publications
+            .iter()
+            .for_each(|(reason, count)| *failed.entry(reason.clone()).or_insert(0) += count);
+        outcome.notes.iter().for_each(|(reason, count)| *notes.entry(*reason).or_insert(0) += count);
     }
-    let sum = |of: fn(&Played) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
-    let times: Vec<u64> = all.iter().flat_map(|played| played.times.iter().copied()).collect();
-    let to_all: Vec<u64> = all.iter().flat_map(|played| played.to_all.iter().copied()).collect();
+    let mean = |figure: fn(&RunOutcome) -> f64| all.iter().map(figure).sum::<f64>() / all.len().max(1) as f64;
+    let times: Vec<u64> = all.iter().flat_map(|outcome| outcome.apply_latencies.iter().copied()).collect();
+    let to_all: Vec<u64> =
+        all.iter().flat_map(|outcome| outcome.slowest_apply_latencies.iter().copied()).collect();
     println!(
-        "{nodes} nodes, {kind:?}: {} worlds, {} broken; {} confirmed; in force after s: median {:.2}, 99th {:.2}, most \
-         {:.2}; at all: median {:.2}, 99th {:.2}; {:.0} bytes/s a node, {:.0} the busiest voter; unknown {:.4}; failed \
-         {failed:?}; notes {notes:?}",
+        "{nodes} nodes, {kind:?}: {} scenarios, {} failed; {} confirmed; in force after s: median {:.2}, 99th {:.2}, \
+         max {:.2}; at all nodes: median {:.2}, 99th {:.2}; {:.0} bytes/s per node, {:.0} at the busiest voter; \
+         unknown {:.4}; failed {failed:?}; notes {notes:?}",
         all.len(),
-        broken.len(),
-        all.iter().map(|played| played.confirmed).sum::<usize>(),
+        failures.len(),
+        all.iter().map(|outcome| outcome.confirmed).sum::<usize>(),
         percentile(&times, 0.5),
         percentile(&times, 0.99),
         percentile(&times, 1.0),
         percentile(&to_all, 0.5),
         percentile(&to_all, 0.99),
-        sum(|played| played.bytes_s),
-        sum(|played| played.voter_bytes_s),
-        sum(|played| played.unknown),
+        mean(|outcome| outcome.bytes_s),
+        mean(|outcome| outcome.voter_bytes_s),
+        mean(|outcome| outcome.unknown_share),
     );
-    broken
+    failures
 }
 
 #[test]
-fn drawn_worlds_keep_the_laws() {
+fn generated_scenarios_keep_the_invariants() {
     let seeds = variable("CONFIGURATION_SEEDS").unwrap_or(3);
     let from = variable("CONFIGURATION_FROM").unwrap_or(0);
     let nodes = variable("CONFIGURATION_NODES").unwrap_or(20) as usize;
     let only = std::env::var("CONFIGURATION_KIND").ok();
-    let kinds: Vec<Kind> = Kind::ALL
+    let kinds: Vec<ScenarioKind> = ScenarioKind::ALL
         .into_iter()
         .filter(|kind| {
             only.as_ref().is_none_or(|only| only.split(',').any(|only| only == format!("{kind:?}")))
         })
         .collect();
     let kinds = std::sync::Mutex::new(kinds);
-    let work = || {
-        let mut broken = Vec::new();
+    let run_kinds = || {
+        let mut failures = Vec::new();
         loop {
-            let next = kinds.lock().unwrap().pop();
-            let Some(kind) = next else { return broken };
-            broken.extend(search(from..from + seeds, nodes, kind));
+            let kind = kinds.lock().unwrap().pop();
+            let Some(kind) = kind else { return failures };
+            failures.extend(search(from..from + seeds, nodes, kind));
         }
     };
-    let broken: Vec<String> = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
+    let failures: Vec<String> = std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(run_kinds)).collect();
         threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
     });
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Guards the laws themselves: each planted defect breaks the one that is there for it.
+/// Each planted defect violates the invariant that must detect it, so the invariants are known to work.
 #[test]
-fn each_double_is_caught_by_its_law() {
-    for (defect, law, kind) in [
-        (Defect::AppliesUncommitted, "committed first", Kind::Faults),
-        (Defect::AppliesIncomplete, "whole and verified", Kind::Faults),
-        (Defect::AppliesLower, "never lower", Kind::LaterDisk),
-        (Defect::SkipsVerification, "whole and verified", Kind::Corrupt),
-        (Defect::CountsSilentAsApplied, "silence is not applied", Kind::Faults),
+fn each_defect_violates_its_invariant() {
+    for (defect, invariant, kind) in [
+        (Defect::AppliesUncommitted, "committed first", ScenarioKind::Faults),
+        (Defect::AppliesIncomplete, "whole and verified", ScenarioKind::Faults),
+        (Defect::AppliesLower, "never lower", ScenarioKind::LaterDisk),
+        (Defect::SkipsVerification, "whole and verified", ScenarioKind::Corrupt),
+        (Defect::CountsSilentAsApplied, "silence is not applied", ScenarioKind::Faults),
     ] {
         let caught = (0..40).any(|seed| {
-            let played = play(&draw(seed, 9, kind), Some(defect), false).unwrap();
-            played.breaches.iter().any(|breach| breach.law == law)
+            let outcome = simulate(&generate(seed, 9, kind), Some(defect), false).unwrap();
+            outcome.violations.iter().any(|violation| violation.invariant == invariant)
         });
-        assert!(caught, "{defect:?} is not caught by {law:?}");
+        assert!(caught, "{defect:?} does not violate {invariant:?}");
     }
 }
 
-/// Guards the overview: its bytes do not grow with the fleet, and nearly all nodes are known everywhere.
+/// Reports between nodes do not grow with the fleet, and nearly all nodes are known everywhere.
 #[test]
-fn reports_are_flat_and_reach_everybody() {
+fn report_traffic_is_independent_of_fleet_size_and_reaches_all_nodes() {
     let [small, large] = [60, 120].map(|nodes| {
         std::thread::spawn(move || {
-            let mut world = draw(1, nodes, Kind::Calm);
-            world.trial.seconds = 180.0;
-            play(&world, None, false).unwrap()
+            let mut scenario = generate(1, nodes, ScenarioKind::Calm);
+            scenario.base.seconds = 180.0;
+            simulate(&scenario, None, false).unwrap()
         })
     });
     let (small, large) = (small.join().unwrap(), large.join().unwrap());
-    assert!(large.bytes_s < 1.15 * small.bytes_s, "{} and {} bytes a second", small.bytes_s, large.bytes_s);
-    assert!(large.unknown < 0.01, "{} of the members are unknown", large.unknown);
+    assert!(large.bytes_s < 1.15 * small.bytes_s, "{} and {} bytes per second", small.bytes_s, large.bytes_s);
+    assert!(large.unknown_share < 0.01, "{} of the members are unknown", large.unknown_share);
 }
 
-/// Guards replay: a world is one history.
+/// The same seed gives the same events, and another seed gives other events.
 #[test]
-fn a_world_is_one_history() {
-    let told = |seed| play(&draw(seed, 9, Kind::Faults), None, true).unwrap().lines;
-    assert_eq!(told(3), told(3));
-    assert_ne!(told(3), told(4));
+fn a_seed_gives_the_same_events() {
+    let events = |seed| simulate(&generate(seed, 9, ScenarioKind::Faults), None, true).unwrap().lines;
+    assert_eq!(events(3), events(3));
+    assert_ne!(events(3), events(4));
 }
 
 #[test]
-#[ignore = "shows one world: CONFIGURATION_WORLD=seed,nodes,kind"]
+#[ignore = "prints one scenario: CONFIGURATION_WORLD=seed,nodes,kind"]
 fn show() {
-    let world = std::env::var("CONFIGURATION_WORLD").unwrap();
-    let parts: Vec<&str> = world.split(',').collect();
-    let kind = Kind::ALL.into_iter().find(|kind| format!("{kind:?}") == parts[2]).unwrap();
-    let world = draw(parts[0].parse().unwrap(), parts[1].parse().unwrap(), kind);
-    let played = play(&world, None, true).unwrap();
-    println!("{world:?}\n{}\n{:?}", played.lines.join("\n"), played.breaches);
+    let scenario = std::env::var("CONFIGURATION_WORLD").unwrap();
+    let parts: Vec<&str> = scenario.split(',').collect();
+    let kind = ScenarioKind::ALL.into_iter().find(|kind| format!("{kind:?}") == parts[2]).unwrap();
+    let scenario = generate(parts[0].parse().unwrap(), parts[1].parse().unwrap(), kind);
+    let outcome = simulate(&scenario, None, true).unwrap();
+    println!("{scenario:?}\n{}\n{:?}", outcome.lines.join("\n"), outcome.violations);
 }
