--- a/crates/fault-injection/src/configuration/node.rs
+++ b/crates/fault-injection/src/configuration/node.rs
@@ -89,8 +89,11 @@
         self.starts += 1;
         (self.paused, self.down_since, self.scheduled) = (false, None, None);
         self.disk.start(if scenario.durable_disks { contents } else { DiskContents::Empty }, None);
-        let saved =
-            if scenario.durable_disks { StoredState::load(&self.disk, &self.name).0 } else { StoredState::default() };
+        let saved = if scenario.durable_disks {
+            StoredState::load(&self.disk, &self.name).0
+        } else {
+            StoredState::default()
+        };
         let id = Identity { cluster: 7, name: self.name.clone(), zone: scenario.base.zone(number).into() };
         let max_format = MAX_FORMAT - u16::from(self.lacks_latest_format);
         let tuning = Tuning { max_format, disk: scenario.durable_disks, defect, ..Tuning::default() };
--- a/crates/fault-injection/src/configuration/publishing.rs
+++ b/crates/fault-injection/src/configuration/publishing.rs
@@ -115,7 +115,8 @@
         };
         self.checker.announcement_committed(announcement);
         let node_state = &self.nodes[node];
-        let saved = FileWrite::InForce(Document { announcement, bytes }).save(&node_state.disk, &node_state.name);
+        let saved =
+            FileWrite::InForce(Document { announcement, bytes }).save(&node_state.disk, &node_state.name);
         debug_assert!(saved.is_ok(), "the disk has no fault before the first start");
     }
 
--- a/crates/fleet/src/configuration/driver.rs
+++ b/crates/fleet/src/configuration/driver.rs
@@ -300,7 +300,9 @@
                 self.content.set_aside(revision);
                 warn!(%revision, why, "configuration: saved revision set aside");
             }
-            Notification::StorageAvailable(true) => info!("configuration: disk accepts writes again; revision saved"),
+            Notification::StorageAvailable(true) => {
+                info!("configuration: disk accepts writes again; revision saved")
+            }
             Notification::StorageAvailable(false) => {
                 warn!("configuration: revision not saved on the disk; serving is not affected")
             }
