--- a/crates/distribution/src/download.rs
+++ b/crates/distribution/src/download.rs
@@ -11,8 +11,8 @@
 
 /// A requested piece that has not arrived.
 #[derive(Clone, Copy, Debug)]
-struct Requested {
-    at: Nanos,
+struct RequestedPiece {
+    requested_at: Nanos,
     retry_at: Nanos, // time at which it is requested again
     attempts: u32,
 }
@@ -28,8 +28,8 @@
     received: Vec<bool>,
     missing: usize,
     next_piece: u16,
-    requested: BTreeMap<u16, Requested>, // outstanding pieces by number
-    smoothed_delay: Option<Nanos>,       // smoothed time from request to arrival
+    requested: BTreeMap<u16, RequestedPiece>, // outstanding pieces by number
+    smoothed_delay: Option<Nanos>,            // smoothed time from request to arrival
     last_progress: Nanos,
 }
 
@@ -86,28 +86,26 @@
         self.last_progress = now;
         // The delay of a piece that was requested twice is ambiguous, so it is not measured (Karn's rule).
         if let Some(requested) = self.requested.remove(&number).filter(|requested| requested.attempts == 1) {
-            let took = now - requested.at;
+            let delay = now - requested.requested_at;
             self.smoothed_delay =
-                Some(self.smoothed_delay.map_or(took, |smoothed_delay| (7 * smoothed_delay + took) / 8));
+                Some(self.smoothed_delay.map_or(delay, |smoothed| (7 * smoothed + delay) / 8));
         }
     }
 
     fn piece_timeout(&self) -> Nanos {
-        let smoothed_delay = self
-            .smoothed_delay
-            .map_or(ANSWER_TIMEOUT, |smoothed_delay| smoothed_delay * PIECE_TIMEOUT_FACTOR);
-        smoothed_delay.clamp(MIN_PIECE_TIMEOUT, ANSWER_TIMEOUT)
+        let timeout = self.smoothed_delay.map_or(ANSWER_TIMEOUT, |delay| delay * PIECE_TIMEOUT_FACTOR);
+        timeout.clamp(MIN_PIECE_TIMEOUT, ANSWER_TIMEOUT)
     }
 
     /// Returns the numbers of the pieces to request now, at most `budget`: overdue ones first, then new ones.
     pub fn pull(&mut self, now: Nanos, budget: usize) -> Vec<u16> {
         let room = PIECE_WINDOW.saturating_sub(self.requested.len());
-        let late = self
+        let overdue = self
             .requested
             .iter()
             .filter(|(_, requested)| requested.retry_at <= now)
             .map(|(number, _)| *number);
-        let mut pieces: Vec<u16> = late.take(MAX_PIECES_PULLED.min(budget)).collect();
+        let mut pieces: Vec<u16> = overdue.take(MAX_PIECES_PULLED.min(budget)).collect();
         let limit = (pieces.len() + room).min(MAX_PIECES_PULLED).min(budget);
         // One pull per arriving piece would cost more than it gains, so a pull waits until there is room for half of
         // its maximum number of pieces.
@@ -124,7 +122,7 @@
         let retry_at = now + self.piece_timeout();
         for number in &pieces {
             let attempts = self.requested.get(number).map_or(0, |requested| requested.attempts) + 1;
-            self.requested.insert(*number, Requested { at: now, retry_at, attempts });
+            self.requested.insert(*number, RequestedPiece { requested_at: now, retry_at, attempts });
         }
         pieces
     }
--- a/crates/distribution/src/overview.rs
+++ b/crates/distribution/src/overview.rs
@@ -13,7 +13,7 @@
 pub struct NodeCount {
     /// Number of nodes.
     pub count: usize,
-    /// Names of the first [`MAX_NAMES`] nodes.
+    /// Names of the first 16 nodes.
     pub names: Vec<Name>,
 }
 
@@ -61,6 +61,6 @@
     pub lowest: Option<(RevisionId, Name)>,
     /// Age of the oldest report that was counted, in nanoseconds.
     pub oldest_report: Nanos,
-    /// Number of reporting nodes by revision, for the lowest [`MAX_NAMES`] revisions.
+    /// Number of reporting nodes by revision, for the 16 lowest revisions.
     pub revisions: BTreeMap<RevisionId, usize>,
 }
--- a/crates/distribution/src/reports.rs
+++ b/crates/distribution/src/reports.rs
@@ -8,6 +8,7 @@
 use crate::revision::RevisionId;
 use crate::wire::Report;
 
+/// Unit of [`Report::age`].
 const AGE_STEP: Nanos = SECOND / 2;
 
 /// The last report of a node.
@@ -17,7 +18,7 @@
     pub id: RevisionId,
     /// Whether the node refuses a later revision.
     pub refused: bool,
-    /// Latest time at which the node may have made the report; it may have made it earlier.
+    /// Time of the report, rounded towards the past, so that a report never counts as more recent than it is.
     pub as_of: Nanos,
 }
 
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -11,7 +11,7 @@
 use crate::error::DocumentError;
 use crate::revision::Revision;
 
-/// One step back.
+/// A step back to the previous revision.
 #[derive(Clone, Debug)]
 struct Step {
     /// Number of the revision that the step leads to.
--- a/crates/revision/src/validation.rs
+++ b/crates/revision/src/validation.rs
@@ -94,7 +94,9 @@
     match prefix {
         _ if !prefix.starts_with('/') => Some("the prefix does not begin with a slash"),
         _ if prefix.len() > MAX_PREFIX_BYTES => Some("the prefix has more than 256 bytes"),
-        _ if prefix.contains(['?', '#']) => Some("the prefix goes beyond the path of a request"),
+        _ if prefix.contains(['?', '#']) => {
+            Some("the prefix has a `?` or `#`, which ends the path of a request")
+        }
         _ if !is_printable(prefix) => Some("the prefix has a space or a control character"),
         _ => None,
     }
