--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -83,7 +83,7 @@
             alive: view.alive,
             suspect: view.suspect,
             dead: view.dead,
-            heard: view.recently_heard,
+            heard: view.recently_seen,
         };
         let zones: BTreeMap<String, ZoneLine> =
             summary.zones.iter().map(|(name, view)| (name.to_string(), zone_line(view))).collect();
--- a/crates/fleet/tests/processes.rs
+++ b/crates/fleet/tests/processes.rs
@@ -96,7 +96,7 @@
 }
 
 impl Node {
-    fn start(folder: &Path, number: usize, relay: &Relay, digests: &Digests) -> Self {
+    fn start(folder: &Path, number: usize, relay: &Relay, findings: &Findings) -> Self {
         let file = folder.join(format!("n{number}.toml"));
         let table = format!(
             "[fleet]\ncluster = \"test\"\nlisten = \"{}\"\nadvertise = \"{}\"\nzone = \"a\"\nmachine = \"m{number}\"\n\
@@ -114,7 +114,7 @@
         let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
         let (input, output) = (child.stdin.take().unwrap(), child.stdout.take().unwrap());
         let status: Arc<Mutex<Status>> = Arc::default();
-        let (shared, digests) = (status.clone(), digests.clone());
+        let (shared, findings) = (status.clone(), findings.clone());
         thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
                 let Some(status) =
@@ -122,7 +122,7 @@
                 else {
                     continue;
                 };
-                check_invariants(number, &status, &shared.lock().unwrap(), &digests);
+                check_invariants(number, &status, &shared.lock().unwrap(), &findings);
                 *shared.lock().unwrap() = status;
             }
         });
@@ -143,24 +143,27 @@
         writeln!(self.input, "{added}").unwrap();
         let shared = self.status.clone();
         let outcome = || shared.lock().unwrap().outcomes.get(before).cloned();
-        wait_until("an outcome", Duration::from_secs(25), || outcome().is_some());
+        wait_until("the outcome is known", Duration::from_secs(25), || outcome().is_some());
         outcome().unwrap()
     }
 }
 
 /// The digest of each revision by number, and the violations found.
-type Digests = Arc<Mutex<(BTreeMap<u64, String>, Vec<String>)>>;
+type Findings = Arc<Mutex<(BTreeMap<u64, String>, Vec<String>)>>;
 
 /// Invariants of a status: the revision never falls, and a revision has the same digest at all nodes.
-fn check_invariants(node: usize, status: &Status, before: &Status, digests: &Digests) {
-    let mut findings = digests.lock().unwrap();
+fn check_invariants(node: usize, status: &Status, before: &Status, findings: &Findings) {
+    let mut findings = findings.lock().unwrap();
     if status.number < before.number {
-        findings.1.push(format!("n{node} has {} after {}", status.number, before.number));
+        findings.1.push(format!("n{node} has revision {} after {}", status.number, before.number));
     }
     if status.number > 0 {
         let first = findings.0.entry(status.number).or_insert_with(|| status.digest.clone()).clone();
         if first != status.digest {
-            findings.1.push(format!("n{node}: {} is {}, elsewhere {first}", status.number, status.digest));
+            findings.1.push(format!(
+                "n{node}: revision {} has digest {}, other nodes have {first}",
+                status.number, status.digest
+            ));
         }
     }
 }
@@ -168,14 +171,16 @@
 fn wait_until(condition: &str, timeout: Duration, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < timeout, "{condition}: not within {timeout:?}");
+        assert!(started.elapsed() < timeout, "timed out after {timeout:?} waiting until {condition}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 fn wait_in_force(nodes: &[Node], which: &[usize], number: u64) {
     let has = |node: &usize| nodes[*node].status().number == number;
-    wait_until(&format!("{number} in force at {which:?}"), IN_FORCE_TIMEOUT, || which.iter().all(has));
+    wait_until(&format!("revision {number} is in force at nodes {which:?}"), IN_FORCE_TIMEOUT, || {
+        which.iter().all(has)
+    });
 }
 
 #[test]
@@ -183,8 +188,8 @@
     let folder = std::env::temp_dir().join(format!("merlinfold-processes-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
-    let (relay, digests) = (Relay::start(NODES), Digests::default());
-    let start = |number: usize| Node::start(&folder, number, &relay, &digests);
+    let (relay, findings) = (Relay::start(NODES), Findings::default());
+    let start = |number: usize| Node::start(&folder, number, &relay, &findings);
     let mut nodes: Vec<Node> = (0..NODES).map(start).collect();
     wait_until("the log has its voters", Duration::from_secs(20), || {
         nodes.iter().all(|node| node.status().voters == 3 && node.status().log_silent_ms < 1_000)
@@ -228,5 +233,5 @@
 
     drop(nodes);
     let _ = std::fs::remove_dir_all(&folder);
-    assert_eq!(digests.lock().unwrap().1, Vec::<String>::new());
+    assert_eq!(findings.lock().unwrap().1, Vec::<String>::new());
 }
--- a/crates/membership/src/machine/majority.rs
+++ b/crates/membership/src/machine/majority.rs
@@ -27,7 +27,7 @@
 
     /// Recomputes whether this node has a majority, and reports a change.
     pub(super) fn update_majority(&mut self, out: &mut Vec<Action>) {
-        let majority = self.hears_majority();
+        let majority = self.reaches_majority();
         if majority == self.majority {
             return;
         }
@@ -38,7 +38,7 @@
     }
 
     /// Estimates whether this node reaches a majority. Its own probes show a loss before deaths are declared.
-    fn hears_majority(&mut self) -> bool {
+    fn reaches_majority(&mut self) -> bool {
         let (known, live) = self.member_counts();
         let (probed, reached) = self.count_probe_results();
         if !self.majority {
--- a/crates/membership/src/machine/merging.rs
+++ b/crates/membership/src/machine/merging.rs
@@ -52,7 +52,7 @@
         let was = peer.state.name();
         if record.run != peer.run {
             peer.replay_window = ReplayWindow::default();
-            peer.last_heard = None;
+            peer.last_seen = None;
         }
         (peer.incarnation, peer.run) = (record.incarnation, record.run);
         peer.profile = profile.clone();
--- a/crates/membership/src/machine/probing.rs
+++ b/crates/membership/src/machine/probing.rs
@@ -141,7 +141,8 @@
             ranked.push((peer.profile.zone == self.me.profile.zone, *chosen_before, name));
             *chosen_before += 1;
         }
-        ranked.sort_by_key(|(own_zone, chosen_before, _)| (*own_zone, *chosen_before)); // a stable sort preserves the random order
+        // A stable sort preserves the random order among equals.
+        ranked.sort_by_key(|(own_zone, chosen_before, _)| (*own_zone, *chosen_before));
         ranked.into_iter().take(self.tuning.helpers).map(|(_, _, name)| name).collect()
     }
 
--- a/crates/membership/src/machine/queries.rs
+++ b/crates/membership/src/machine/queries.rs
@@ -26,7 +26,7 @@
             profile: peer.profile.clone(),
             incarnation: peer.incarnation,
             state: peer.state.name(),
-            silent_for: peer.last_heard.map(|at| now.saturating_sub(at)),
+            silent_for: peer.last_seen.map(|at| now.saturating_sub(at)),
         });
         let mut members: Vec<Member> = others.chain([own_member]).collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/membership/src/machine/receiving.rs
+++ b/crates/membership/src/machine/receiving.rs
@@ -60,7 +60,7 @@
             if !peer.replay_window.accept(envelope.counter) {
                 return Err(DatagramError::Replayed);
             }
-            peer.last_heard = Some(now);
+            peer.last_seen = Some(now);
         }
         Ok(())
     }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -6,8 +6,8 @@
 
 const MIN_IMMUNITY: Nanos = 1_000 * MS; // against accusations, after a first refutation
 const MAX_IMMUNITY: Nanos = 16_000 * MS;
-const FLAP_HALF_LIFE: Nanos = 60_000 * MS; // time in which one refutation is taken off the count
-const MAX_FLAPS: u32 = 5; // the immunity does not grow beyond this count
+const FLAP_DECAY_INTERVAL: Nanos = 60_000 * MS; // one flap is removed from the count in this time
+const MAX_FLAPS: u32 = 5; // maximum count that extends the immunity
 
 /// State of a member in this node's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -62,7 +62,7 @@
     /// State in this node's view.
     pub state: State,
     /// Time of the last datagram from the member itself.
-    pub last_heard: Option<Nanos>,
+    pub last_seen: Option<Nanos>,
     /// Detects datagrams of the member that have been received before.
     pub replay_window: ReplayWindow,
     immune_until: Nanos,
@@ -78,7 +78,7 @@
             incarnation,
             run,
             state: State::Alive,
-            last_heard: None,
+            last_seen: None,
             replay_window: ReplayWindow::default(),
             immune_until: 0,
             flaps: 0,
@@ -121,8 +121,8 @@
     }
 
     /// Time at which the suspicion expires, or `None` if the member is not suspected. The time shrinks from the maximum
-    /// to the minimum as up to `wanted` further accusers confirm the suspicion (Lifeguard's formula). `slow` is the
-    /// multiplier for this node's own slowness.
+    /// to the minimum as up to `wanted` further accusers confirm the suspicion (Lifeguard's formula). `multiplier`
+    /// extends the time while this node itself is slow.
     pub fn deadline(&self, tuning: &Tuning, wanted: usize, multiplier: u64) -> Option<Nanos> {
         let State::Suspect { since, accusers, final_probe } = &self.state else { return None };
         if let Some((_, until)) = final_probe {
@@ -143,7 +143,7 @@
     /// Notes that the member has refuted an accusation or has come back to life, and makes it immune to accusations for
     /// a time that grows with the number of recent refutations.
     pub fn record_refutation(&mut self, now: Nanos) {
-        let expired_flaps = now.saturating_sub(self.last_flap) / FLAP_HALF_LIFE;
+        let expired_flaps = now.saturating_sub(self.last_flap) / FLAP_DECAY_INTERVAL;
         self.flaps = self.flaps.saturating_sub(expired_flaps.min(u64::from(MAX_FLAPS)) as u32).min(MAX_FLAPS);
         let immunity = (MIN_IMMUNITY << self.flaps).min(MAX_IMMUNITY);
         self.immune_until = now.saturating_add(immunity);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -31,7 +31,7 @@
     /// Members that are dead.
     pub dead: usize,
     /// Members from which a datagram was received in the last 5 s.
-    pub recently_heard: usize,
+    pub recently_seen: usize,
 }
 
 /// Summary of how much of the fleet this node reaches. The summary of another node may differ at any time.
@@ -66,8 +66,8 @@
             }
             summary.known += 1;
             summary.alive += usize::from(peer.state == State::Alive);
-            zone.recently_heard +=
-                usize::from(peer.last_heard.is_some_and(|at| now.saturating_sub(at) <= window));
+            zone.recently_seen +=
+                usize::from(peer.last_seen.is_some_and(|at| now.saturating_sub(at) <= window));
         }
         summary.majority = 2 * summary.alive > summary.known;
         summary
