--- a/crates/fault-injection/src/configuration/host.rs
+++ b/crates/fault-injection/src/configuration/host.rs
@@ -16,9 +16,13 @@
 
 /// The result of work that a host has done for its state machine.
 pub enum HostResult {
+    /// Deltas were composed into a document.
     Composed(Result<Arc<[u8]>, Rejection>),
+    /// A revision was applied.
     Applied(RevisionId, Result<(), Rejection>),
+    /// A file was written; whether it is durable.
     Persisted(bool),
+    /// The log decided on a proposal.
     Proposed(Ticket, Result<(), ProposalError>),
 }
 
@@ -122,6 +126,7 @@
         }
     }
 
+    /// Writes a file to the node's disk and reports the result after the time that this takes.
     fn persist(&mut self, node: usize, write: &Write) {
         let node_state = &self.nodes[node];
         let saved = write.save(&node_state.disk, &node_state.name);
@@ -131,6 +136,7 @@
         self.push(self.now + delay, QueuedEvent::HostDone { node, start, done });
     }
 
+    /// Records a note of a state machine, and counts it unless a revision came into force.
     fn record_note(&mut self, node: usize, note: &Note) {
         self.line(Some(node), || format!("{note:?}"));
         let kind = match note {
--- a/crates/fault-injection/src/configuration/publishing.rs
+++ b/crates/fault-injection/src/configuration/publishing.rs
@@ -20,7 +20,7 @@
 use crate::scenario::DiskContents;
 use crate::schedule::StepAction;
 
-const SMALL_DOCUMENT_BYTES: usize = 12_000; // length of a document
+const SMALL_DOCUMENT_BYTES: usize = 12_000; // length of a usual document
 const LARGE_DOCUMENT_BYTES: usize = 1_500_000; // length of a document with 30,000 tenants
 const DELTA_BYTES: std::ops::Range<usize> = 40..600; // length of a usual delta
 const BURST_REVISIONS: usize = 100;
@@ -48,11 +48,11 @@
     /// Nodes that each active link rule affects.
     pub rules: BTreeMap<usize, Vec<usize>>,
     tickets: Ticket,
-    burst: usize,
+    burst: usize,                   // publications of the current burst that are still to come
     killed: BTreeMap<usize, Nanos>, // for each voter that was killed or stopped, when that last happened
     lost: Option<RevisionId>, // content up to this revision may be lost, because half of the voters or more restarted
-    restarted: bool,
-    failures: usize, // in a row, because the publisher lacks the latest content
+    restarted: bool,          // whether most of the fleet was already restarted once
+    failures: usize,          // in a row, because the publisher lacks the latest content
 }
 
 impl Publishing {
@@ -80,8 +80,7 @@
     pub fn prepare(&mut self) {
         let count = self.nodes.len();
         let voters = self.scenario.voters;
-        let others: Vec<usize> = (voters + 1..count).collect();
-        let mut affected = others.clone();
+        let mut affected: Vec<usize> = (voters + 1..count).collect();
         affected.shuffle(&mut self.stream);
         affected.truncate(count / 5);
         match self.scenario.kind {
@@ -299,10 +298,10 @@
             }
             _ => return,
         };
-        for killed in killed.into_iter().filter(|node| self.nodes[*node].is_up()).collect::<Vec<_>>() {
+        for node in killed.into_iter().filter(|node| self.nodes[*node].is_up()).collect::<Vec<_>>() {
             let at = self.now + self.stream.random_range(0..20 * MS);
-            self.push(at, QueuedEvent::ExtraStep(StepAction::Kill(killed)));
-            self.push(at + 3 * SECOND, QueuedEvent::ExtraStep(StepAction::Start(killed, DiskContents::Kept)));
+            self.push(at, QueuedEvent::ExtraStep(StepAction::Kill(node)));
+            self.push(at + 3 * SECOND, QueuedEvent::ExtraStep(StepAction::Start(node, DiskContents::Kept)));
         }
     }
 }
--- a/crates/fault-injection/src/configuration/simulator.rs
+++ b/crates/fault-injection/src/configuration/simulator.rs
@@ -175,6 +175,7 @@
         }
     }
 
+    /// Handles all events up to `end`.
     fn run(&mut self, steps: &[Step], end: Nanos) {
         while let Some(Reverse((at, _, slot))) = self.queue.pop() {
             if at > end {
@@ -217,6 +218,7 @@
         }
     }
 
+    /// Carries out a step of the schedule.
     fn step(&mut self, action: &StepAction) {
         self.line(None, || action.description());
         self.links.step(action);
--- a/crates/fault-injection/src/invariants.rs
+++ b/crates/fault-injection/src/invariants.rs
@@ -58,11 +58,11 @@
     /// For each node, whether its process is suspended.
     pub paused: Vec<bool>,
     rules: BTreeMap<usize, (EndpointSet, EndpointSet, LinkEffect)>,
-    healthy_from: Vec<Nanos>,
+    healthy_from: Vec<Nanos>, // for each node, when it counts as healthy again
     /// Time of the schedule's last step, from which on no fault begins or ends.
     pub faults_end: Nanos,
-    partitions: Vec<usize>, // nodes with the same number reach each other
-    partitions_since: Nanos,
+    partitions: Vec<usize>,  // nodes with the same number reach each other
+    partitions_since: Nanos, // when the partitions last changed
 }
 
 impl ActualState {
@@ -112,12 +112,13 @@
             }
             StepAction::SetDiskFault(..) => return,
         }
-        let partitions = self.components();
+        let partitions = self.partition_numbers();
         if partitions != self.partitions {
             (self.partitions, self.partitions_since) = (partitions, now);
         }
     }
 
+    /// Returns whether a rule blocks everything from one node to another.
     fn blocks(&self, from: usize, to: usize) -> bool {
         let mut rules = self.rules.values();
         rules.any(|(a, b, effect)| {
@@ -127,29 +128,29 @@
 
     /// Returns a number for each node; nodes have the same number if they reach each other in both directions,
     /// directly or through others.
-    fn components(&self) -> Vec<usize> {
+    fn partition_numbers(&self) -> Vec<usize> {
         let count = self.up.len();
-        let mut component: Vec<usize> = (0..count).collect();
+        let mut numbers: Vec<usize> = (0..count).collect();
         let is_running = |node: usize| self.up[node] && !self.paused[node];
         for first in 0..count {
-            if component[first] != first || !is_running(first) {
+            if numbers[first] != first || !is_running(first) {
                 continue;
             }
-            let mut open = vec![first];
-            while let Some(node) = open.pop() {
-                for (other, group) in component.iter_mut().enumerate().skip(first + 1) {
+            let mut unvisited = vec![first];
+            while let Some(node) = unvisited.pop() {
+                for (other, group) in numbers.iter_mut().enumerate().skip(first + 1) {
                     if *group == other
                         && is_running(other)
                         && !self.blocks(node, other)
                         && !self.blocks(other, node)
                     {
                         *group = first;
-                        open.push(other);
+                        unvisited.push(other);
                     }
                 }
             }
         }
-        component
+        numbers
     }
 
     /// Returns whether the node runs and had no fault of its own or of its links since `since`.
@@ -165,7 +166,7 @@
 
     /// Returns how many nodes this node reaches, including itself.
     fn reachable_nodes(&self, node: usize) -> usize {
-        self.partitions.iter().filter(|&&component| component == self.partitions[node]).count()
+        self.partitions.iter().filter(|&&partition| partition == self.partitions[node]).count()
     }
 }
 
--- a/crates/fault-injection/src/replicated_log/simulator.rs
+++ b/crates/fault-injection/src/replicated_log/simulator.rs
@@ -174,6 +174,7 @@
 }
 
 impl Simulator<'_> {
+    /// Schedules an event.
     fn push(&mut self, at: Nanos, event: QueuedEvent) {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.events.push(None);
@@ -193,6 +194,7 @@
         }
     }
 
+    /// Handles all events up to `end`.
     fn run(&mut self, steps: &[Step], end: Nanos) {
         while let Some(Reverse((at, _, slot))) = self.queue.pop() {
             if at > end {
@@ -250,6 +252,7 @@
         self.nodes.iter().enumerate().filter(move |(_, node)| up(node)).map(|(n, _)| n)
     }
 
+    /// Carries out a step of the schedule.
     fn step(&mut self, action: &StepAction) {
         self.line(None, action.description());
         self.links.step(action);
@@ -381,6 +384,7 @@
         self.push(self.now + PROPOSAL_INTERVAL / 2 + jitter, QueuedEvent::Propose);
     }
 
+    /// Proposes a command that sets `key` to its own number, through one node.
     fn propose_command(&mut self, node: usize, id: u128, key: &str, expect: Option<u64>) {
         self.proposed.entry(id).or_insert(self.now);
         let set = Set { key: key.to_owned(), expect, value: id.to_le_bytes().to_vec() };
@@ -388,6 +392,7 @@
         self.handle_event(node, Event::Propose(Command { id, kind: SET, body }));
     }
 
+    /// Passes an event to the state machine of a node and carries out its actions.
     fn handle_event(&mut self, node: usize, event: Event) {
         let Some(machine) = &mut self.nodes[node].machine else { return };
         let mut actions = Vec::new();
@@ -395,6 +400,7 @@
         self.perform_actions(node, actions);
     }
 
+    /// Returns the group of a node's log.
     fn group(&self, node: usize) -> Group {
         self.nodes[node].machine.as_ref().map(ReplicatedLog::group).unwrap_or_default()
     }
@@ -438,12 +444,13 @@
         self.push(self.now + delay, QueuedEvent::SaveDone { node, start, durable });
     }
 
+    /// Reports a notification to the invariant checker and the event log.
     fn handle_notification(&mut self, node: usize, group: &mut Group, notification: Notification) {
         match notification {
             Notification::Applied(entry) => {
-                let node_state = self.nodes[node].machine.as_ref();
+                let machine = self.nodes[node].machine.as_ref();
                 if let EntryPayload::Command(command) = &entry.what {
-                    let outcome = node_state.and_then(|machine| machine.state().outcome(command.id)).cloned();
+                    let outcome = machine.and_then(|machine| machine.state().outcome(command.id)).cloned();
                     if let Some(outcome) = outcome {
                         self.checker.outcome_applied(self.now, node, *group, command.id, &outcome);
                     }
--- a/crates/fault-injection/src/virtual_time.rs
+++ b/crates/fault-injection/src/virtual_time.rs
@@ -35,6 +35,7 @@
     format!("n{node}").into()
 }
 
+/// A node: its membership while the process runs, its disk and what it has sent.
 struct Node {
     name: Name,
     cluster: &'static str,
@@ -49,15 +50,15 @@
     starts: u64,
     run: u64,
     scheduled: Option<Nanos>,
-    sent_before: u64,   // bytes that earlier processes of this node sent
-    sent_starting: u64, // bytes sent before `FORMATION_TIME`
-    changed: bool,      // whether the membership changed since the last save
+    sent_before: u64,        // bytes that earlier processes of this node sent
+    sent_while_forming: u64, // bytes sent before `FORMATION_TIME`
+    changed: bool,           // whether the membership changed since the last save
 }
 
 /// An event of the simulation. Events of a process carry the number of its start, and are ignored after another
 /// start.
 enum QueuedEvent {
-    Step(usize), // index of a step of the schedule
+    Step(usize), // index into the schedule
     Deliver { to: usize, from: usize, bytes: Vec<u8> },
     Tick(usize),
     Exit(usize, u64),
@@ -88,7 +89,7 @@
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
     events: Vec<Option<QueuedEvent>>,
     free: Vec<usize>,
-    next: u64,
+    next_sequence: u64,
     now: Nanos,
 }
 
@@ -116,8 +117,8 @@
     }
 
     fn foreign_members(&self, observer: usize) -> usize {
-        let node_state = self.nodes[observer].machine.as_ref();
-        node_state.map_or(0, |machine| {
+        let machine = self.nodes[observer].machine.as_ref();
+        machine.map_or(0, |machine| {
             self.nodes[self.fleet_size..]
                 .iter()
                 .filter(|other| machine.state_of(&other.name).is_some())
@@ -156,7 +157,7 @@
         run: 0,
         scheduled: None,
         sent_before: 0,
-        sent_starting: 0,
+        sent_while_forming: 0,
         changed: false,
     });
     let mut simulator = Simulator {
@@ -171,7 +172,7 @@
         queue: BinaryHeap::new(),
         events: Vec::new(),
         free: Vec::new(),
-        next: 0,
+        next_sequence: 0,
         now: 0,
     };
     if faulty_node == Some(FaultyNode::Unsynced) {
@@ -189,16 +190,18 @@
 }
 
 impl Simulator<'_> {
+    /// Schedules an event.
     fn push(&mut self, at: Nanos, event: QueuedEvent) {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
         });
         self.events[slot] = Some(event);
-        self.next += 1;
-        self.queue.push(Reverse((at, self.next, slot)));
+        self.next_sequence += 1;
+        self.queue.push(Reverse((at, self.next_sequence, slot)));
     }
 
+    /// Handles all events up to `end`.
     fn run(&mut self, steps: &[Step], end: Nanos) {
         while let Some(Reverse((at, _, slot))) = self.queue.pop() {
             if at > end {
@@ -233,6 +236,7 @@
         }
     }
 
+    /// Carries out a step of the schedule and reports it to the invariants.
     fn step(&mut self, action: &StepAction) {
         self.report.add_timeline_entry(self.now, None, action.description());
         self.links.step(action);
@@ -256,9 +260,9 @@
             StepAction::Continue(_) | StepAction::BeginRule { .. } | StepAction::EndRule(_) => {}
         }
         self.actual.apply(self.now, action);
-        let seen = NodeViews { nodes: &self.nodes, fleet_size: self.scenario.fleet.nodes };
+        let views = NodeViews { nodes: &self.nodes, fleet_size: self.scenario.fleet.nodes };
         for invariant in &mut self.invariants {
-            invariant.on_step(self.now, &self.actual, action, &seen, &mut self.findings);
+            invariant.on_step(self.now, &self.actual, action, &views, &mut self.findings);
         }
         if let StepAction::Continue(node) = action {
             self.nodes[*node].paused = false;
@@ -270,15 +274,16 @@
         }
     }
 
+    /// Starts a process with the given disk contents; its membership starts once the disk has answered.
     fn start(&mut self, node: usize, contents: DiskContents) {
         let other_node = (node + 1) % self.scenario.fleet.nodes;
         let (own, other) = (&self.nodes[node], &self.nodes[other_node]);
         let other_disk = other.disk.clone();
         own.disk.start(contents, Some(&other_disk));
-        let (mut saved, faults) = Keeping::new(&own.name, own.cluster).start(&own.disk);
+        let (mut saved, errors) = Keeping::new(&own.name, own.cluster).start(&own.disk);
         let mut delay = own.disk.operation_delay(SAVE_OPERATIONS);
-        for fault in faults {
-            self.report.add_timeline_entry(self.now, Some(node), format!("fleet.mf: {fault}"));
+        for error in errors {
+            self.report.add_timeline_entry(self.now, Some(node), format!("fleet.mf: {error}"));
         }
         self.nodes[node].starts += 1;
         self.nodes[node].ended = false;
@@ -361,9 +366,9 @@
             return;
         };
         let keeping = Keeping::new(&node_state.name, node_state.cluster);
-        if let Err(fault) = keeping.save(&node_state.disk, (node_state.run >> 32) as u32, machine.addresses())
+        if let Err(error) = keeping.save(&node_state.disk, (node_state.run >> 32) as u32, machine.addresses())
         {
-            self.report.add_timeline_entry(self.now, Some(node), format!("fleet.mf: {fault}"));
+            self.report.add_timeline_entry(self.now, Some(node), format!("fleet.mf: {error}"));
         }
     }
 
@@ -376,12 +381,12 @@
             }
             return;
         }
-        let Some(machine) = &node_state.machine else { return };
-        let _ = machine;
+        if node_state.machine.is_none() {
+            return;
+        }
         let bytes = match self.faulty_node.filter(|_| to < self.scenario.fleet.nodes) {
             Some(faulty_node) => {
                 let number = |cluster: &str| {
-                    use merlinfold_membership::Identity;
                     Identity {
                         cluster: cluster.into(),
                         name: node_state.name.clone(),
@@ -399,6 +404,7 @@
         self.handle_event(to, Event::Datagram { from: source, bytes: &bytes });
     }
 
+    /// Passes an event to the membership of a node and carries out its actions.
     fn handle_event(&mut self, node: usize, event: Event) {
         let Some(machine) = &mut self.nodes[node].machine else { return };
         let mut actions = Vec::new();
@@ -412,6 +418,7 @@
         self.schedule_tick(node);
     }
 
+    /// Sends a datagram over the simulated links.
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let SocketAddr::V4(at) = to else { return };
         let [.., high, low] = at.ip().octets();
@@ -419,8 +426,8 @@
         if to >= self.nodes.len() {
             return;
         }
-        for way in self.links.delivery_delays(self.now, from, to, bytes.len()) {
-            self.push(self.now + way, QueuedEvent::Deliver { to, from, bytes: bytes.clone() });
+        for transit in self.links.delivery_delays(self.now, from, to, bytes.len()) {
+            self.push(self.now + transit, QueuedEvent::Deliver { to, from, bytes: bytes.clone() });
         }
     }
 
@@ -435,14 +442,14 @@
                 invariant.on_state_change(self.now, &self.actual, node, member, is, &mut self.findings);
             }
         }
-        let what = match change {
+        let detail = match change {
             Change::Member { name, was, is } => format!("{name}: {} -> {is}", was.unwrap_or("unknown")),
-            Change::Majority(filter_datagram) => {
-                format!("hears {}", if *filter_datagram { "most" } else { "fewer than half" })
+            Change::Majority(hears_majority) => {
+                format!("hears {}", if *hears_majority { "most" } else { "fewer than half" })
             }
             Change::StoodDown => "stands down".to_owned(),
         };
-        self.report.add_timeline_entry(self.now, Some(node), what);
+        self.report.add_timeline_entry(self.now, Some(node), detail);
     }
 
     /// Schedules the next tick of a node unless an earlier one is scheduled.
@@ -461,11 +468,11 @@
     /// Samples all views and schedules the next sample.
     fn sample(&mut self) {
         if self.now <= FORMATION_TIME {
-            self.nodes.iter_mut().for_each(|node| node.sent_starting = node.sent());
+            self.nodes.iter_mut().for_each(|node| node.sent_while_forming = node.sent());
         }
-        let seen = NodeViews { nodes: &self.nodes, fleet_size: self.scenario.fleet.nodes };
+        let views = NodeViews { nodes: &self.nodes, fleet_size: self.scenario.fleet.nodes };
         for invariant in &mut self.invariants {
-            invariant.on_sample(self.now, &self.actual, &seen, &mut self.findings);
+            invariant.on_sample(self.now, &self.actual, &views, &mut self.findings);
         }
         let nodes = &self.nodes[..self.scenario.fleet.nodes];
         let alive = nodes.iter().map(|node| node.machine.as_ref().map(Membership::alive)).collect();
@@ -473,15 +480,16 @@
         self.push(self.now + SAMPLE_INTERVAL, QueuedEvent::Sample);
     }
 
+    /// Returns the report with the findings of the invariants.
     fn finish(mut self) -> Report {
         let seconds = crate::report::seconds(nanos(self.scenario.seconds).saturating_sub(FORMATION_TIME));
         let nodes = &self.nodes[..self.scenario.fleet.nodes];
-        let sent = |node: &Node| (node.sent() - node.sent_starting) as f64 / seconds;
+        let sent = |node: &Node| (node.sent() - node.sent_while_forming) as f64 / seconds;
         let sent: Vec<f64> = nodes.iter().filter(|_| seconds > 0.0).map(sent).collect();
-        let judged =
+        let from_findings =
             Report::new(&self.report.name, self.scenario, "virtual", std::mem::take(&mut self.findings));
         let mut report = self.report;
-        (report.violations, report.figures) = (judged.violations, judged.figures);
+        (report.violations, report.figures) = (from_findings.violations, from_findings.figures);
         report.figures.bytes_s = mean_and_max(&sent);
         report
     }
