--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -42,23 +42,23 @@
         })?,
     };
     let day: Experiment = merlinfold_config::parse(&text).map_err(|fault| format!("{name}:{fault}"))?;
-    day.check().map_err(|fault| format!("{name}: {fault}"))?;
+    day.validate().map_err(|fault| format!("{name}: {fault}"))?;
     Ok(day)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use merlinfold_simulation::clients::draw;
+    use merlinfold_simulation::clients::generate_requests;
+    use merlinfold_simulation::disruptions::timeline;
     use merlinfold_simulation::seed::Seed;
-    use merlinfold_simulation::trouble::timeline;
 
     #[test]
     fn every_kept_experiment_is_valid_and_asks_a_question() {
         for (name, _) in KEPT {
             let day = find(name).unwrap();
             assert!(day.question.ends_with('?'), "{name}: {}", day.question);
-            assert!(!draw(&day, Seed(1)).is_empty(), "{name}");
+            assert!(!generate_requests(&day, Seed(1)).is_empty(), "{name}");
         }
     }
 
@@ -67,7 +67,8 @@
     fn the_same_seed_gives_the_same_day_to_the_byte_and_another_a_different_one() {
         for (name, _) in KEPT {
             let day = find(name).unwrap();
-            let text = |seed| format!("{:?}{:?}", draw(&day, Seed(seed)), timeline(&day, Seed(seed)));
+            let text =
+                |seed| format!("{:?}{:?}", generate_requests(&day, Seed(seed)), timeline(&day, Seed(seed)));
             assert_eq!(text(7), text(7), "{name}");
             assert_ne!(text(7), text(8), "{name}");
         }
@@ -89,7 +90,7 @@
             let read = merlinfold_config::parse::<Experiment>(&text.replacen(change.0, change.1, 1));
             let fault = match read {
                 Err(fault) => fault.to_string(),
-                Ok(day) => day.check().unwrap_err().to_string(),
+                Ok(day) => day.validate().unwrap_err().to_string(),
             };
             assert!(fault.contains(says), "{change:?}: {fault}");
         }
--- a/crates/lab/src/html.rs
+++ b/crates/lab/src/html.rs
@@ -50,10 +50,11 @@
         let svg = plot(report, unit, lines).map_err(|error| format!("plot: {error}"))?;
         let _ = write!(body, "<h2>{title}</h2>{svg}");
     }
-    let breaches = if report.breaches.is_empty() {
+    let breaches = if report.violations.is_empty() {
         "<p>All rules were kept.</p>".to_owned()
     } else {
-        let each: Vec<String> = report.breaches.iter().map(|b| format!("<li>{}</li>", escaped(b))).collect();
+        let each: Vec<String> =
+            report.violations.iter().map(|b| format!("<li>{}</li>", escaped(b))).collect();
         format!("<h2>Broken rules</h2><ul class=bad>{}</ul>", each.concat())
     };
     let void = report.lab.void.as_ref().map(|why| format!("<p class=bad>Void: {}</p>", escaped(why)));
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use merlinfold_simulation::clients::{Clients, End, Try, Wish};
-use merlinfold_simulation::experiment::{Effect, Experiment};
-use merlinfold_simulation::front::Front;
-use merlinfold_simulation::ledger::{Peer, Tried};
+use merlinfold_simulation::clients::{Clients, RequestPlan, Try, TryOutcome};
+use merlinfold_simulation::experiment::{Experiment, RetrySafety};
+use merlinfold_simulation::ledger::{InvalidPeer, TryRecord};
+use merlinfold_simulation::node_balancer::NodeBalancer;
 use merlinfold_simulation::report::{histogram, micros};
 use merlinfold_simulation::seed::{Seed, Stream};
 use merlinfold_simulation::{millis, Nanos, MS, SECOND};
@@ -32,12 +32,12 @@
 struct Desk {
     day: Experiment,
     clients: Clients,
-    front: Front,
+    front: NodeBalancer,
     rng: Stream,
     nodes: Vec<SocketAddr>,
     idle: Vec<Vec<Connection>>,
-    tries: Vec<Tried>,
-    peers: Vec<Peer>,
+    tries: Vec<TryRecord>,
+    peers: Vec<InvalidPeer>,
     late: Histogram<u64>,
     clock: Clock,
     timer: Timer,
@@ -55,11 +55,11 @@
 /// What the clients saw.
 pub struct Seen {
     /// All that was wanted.
-    pub wishes: Vec<Wish>,
+    pub wishes: Vec<RequestPlan>,
     /// Tries.
-    pub tries: Vec<Tried>,
+    pub tries: Vec<TryRecord>,
     /// Peers without a proper request.
-    pub peers: Vec<Peer>,
+    pub peers: Vec<InvalidPeer>,
     /// Lateness of first tries, in microseconds.
     pub late: Histogram<u64>,
 }
@@ -74,7 +74,7 @@
         let desk = Desk {
             day: day.clone(),
             clients: Clients::new(day, seed),
-            front: Front::new((0..count).map(|node| day.zone_of_node(node)).collect()),
+            front: NodeBalancer::new((0..count).map(|node| day.zone_of_node(node)).collect()),
             rng: seed.stream("front", 0),
             nodes: (0..count).map(|node| range.node(node)).collect(),
             idle: (0..count).map(|_| Vec::new()).collect(),
@@ -107,9 +107,9 @@
                 let started = {
                     let mut desk = self.lock();
                     let now = desk.clock.now();
-                    let started = desk.clock.started().then(|| desk.clients.start(now)).flatten();
+                    let started = desk.clock.started().then(|| desk.clients.start_try(now)).flatten();
                     if let Some(start) = started {
-                        desk.late.saturating_record(micros(now - start.planned));
+                        desk.late.saturating_record(micros(now - start.scheduled_at));
                     }
                     started
                 };
@@ -129,8 +129,8 @@
     pub fn node(&self, node: usize, gone: Option<Nanos>) {
         let mut desk = self.lock();
         match gone {
-            None => desk.front.ready(node),
-            Some(noticed) => desk.front.gone(node, noticed),
+            None => desk.front.node_ready(node),
+            Some(noticed) => desk.front.node_stopped(node, noticed),
         }
         desk.idle[node].clear();
     }
@@ -139,7 +139,7 @@
     pub fn seen(&self) -> Seen {
         let mut desk = self.lock();
         Seen {
-            wishes: desk.clients.wishes().to_vec(),
+            wishes: desk.clients.plans().to_vec(),
             tries: std::mem::take(&mut desk.tries),
             peers: std::mem::take(&mut desk.peers),
             late: desk.late.clone(),
@@ -151,45 +151,45 @@
             let mut desk = self.lock();
             let now = desk.clock.now();
             let desk = &mut *desk;
-            let node = desk.front.pick(now, start.wish.zone, &mut desk.rng);
+            let node = desk.front.pick_node(now, start.plan.zone, &mut desk.rng);
             (node, node.map(|node| desk.nodes[node]), millis(desk.day.rules.grace_ms))
         };
-        let mut tried = Tried {
-            is: start,
+        let mut tried = TryRecord {
+            client_try: start,
             node,
-            written: None,
-            first: true,
-            closed: None,
+            written_at: None,
+            first_on_connection: true,
+            closed_at: None,
             ended: 0,
-            end: End::Unreachable,
-            extra: false,
+            outcome: TryOutcome::Unreachable,
+            extra_data: false,
         };
         if let (Some(node), Some(at)) = (node, at) {
             let most = start.budget + grace;
-            let most = start.leaves_after.map_or(most, |leaves| most.min(leaves));
+            let most = start.abandon_after.map_or(most, |leaves| most.min(leaves));
             let asked = timeout(Duration::from_nanos(most), self.ask(node, at, start, &mut tried)).await;
-            tried.end = match asked {
+            tried.outcome = match asked {
                 Ok(end) => end,
-                Err(_) if tried.written.is_none() => End::Unreachable,
-                Err(_) if start.leaves_after.is_some() => End::Left,
-                Err(_) => End::Unanswered,
+                Err(_) if tried.written_at.is_none() => TryOutcome::Unreachable,
+                Err(_) if start.abandon_after.is_some() => TryOutcome::Left,
+                Err(_) => TryOutcome::Unanswered,
             };
         }
         let mut desk = self.lock();
         tried.ended = desk.clock.now();
         desk.tries.push(tried);
-        desk.clients.ended(tried.ended, start.id, tried.end);
+        desk.clients.try_ended(tried.ended, start.id, tried.outcome);
         desk.timer.set(desk.clients.next_due());
         if desk.clients.done() {
             desk.timer.wake().notify_one();
         }
     }
 
-    async fn ask(&self, node: usize, at: SocketAddr, start: Try, tried: &mut Tried) -> End {
+    async fn ask(&self, node: usize, at: SocketAddr, start: Try, tried: &mut TryRecord) -> TryOutcome {
         let text = self.request(&start);
         loop {
             let kept = self.kept(node, tried);
-            tried.first = kept.is_none();
+            tried.first_on_connection = kept.is_none();
             let mut connection = match kept {
                 Some(kept) => kept,
                 None => match TcpStream::connect(at).await {
@@ -198,17 +198,17 @@
                         Connection { stream, reader: Reader::default() }
                     }
                     // What was written before on a kept connection may have run.
-                    Err(_) if tried.written.is_some() => return End::Closed,
-                    Err(_) => return End::Unreachable,
+                    Err(_) if tried.written_at.is_some() => return TryOutcome::Closed,
+                    Err(_) => return TryOutcome::Unreachable,
                 },
             };
             let end = self.exchange(&mut connection, &text, start.id, tried).await;
             let Some((end, keep)) = end else {
-                if tried.first {
-                    return End::Closed;
+                if tried.first_on_connection {
+                    return TryOutcome::Closed;
                 }
                 // A close that crossed the request, as far as the client can tell: once more, on a new connection.
-                tried.closed = Some(self.lock().clock.now());
+                tried.closed_at = Some(self.lock().clock.now());
                 continue;
             };
             if keep {
@@ -222,12 +222,12 @@
     }
 
     /// A kept connection that is still open, the last used first.
-    fn kept(&self, node: usize, tried: &mut Tried) -> Option<Connection> {
+    fn kept(&self, node: usize, tried: &mut TryRecord) -> Option<Connection> {
         let mut desk = self.lock();
         while let Some(kept) = desk.idle[node].pop() {
             match kept.stream.try_read(&mut [0; 1]) {
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return Some(kept),
-                Ok(1) => tried.extra = true, // after the answer before came more
+                Ok(1) => tried.extra_data = true, // after the answer before came more
                 _ => {}
             }
         }
@@ -236,37 +236,37 @@
 
     /// The end, and whether the connection stays; none if it ended before a first byte came back.
     async fn exchange(
-        &self, connection: &mut Connection, text: &[u8], id: u64, tried: &mut Tried,
-    ) -> Option<(End, bool)> {
+        &self, connection: &mut Connection, text: &[u8], id: u64, tried: &mut TryRecord,
+    ) -> Option<(TryOutcome, bool)> {
         let Connection { stream, reader } = connection;
         if stream.write_all(text).await.is_err() {
             return None;
         }
-        tried.written = Some(self.lock().clock.now());
+        tried.written_at = Some(self.lock().clock.now());
         match reader.next(stream, Side::Client).await {
             Ok(Some(message)) => {
-                tried.extra |= reader.has_more();
+                tried.extra_data |= reader.has_more();
                 let keep = !message.closes() && !reader.has_more();
                 Some((end(&message, id), keep))
             }
             Ok(None) => None,
-            Err(_) if reader.has_more() => Some((End::Closed, false)),
+            Err(_) if reader.has_more() => Some((TryOutcome::Closed, false)),
             Err(_) => None,
         }
     }
 
     fn request(&self, start: &Try) -> Vec<u8> {
         let desk = self.lock();
-        let Wish { class, tenant, key, work, .. } = start.wish;
+        let RequestPlan { class, tenant, key, work, .. } = start.plan;
         let class = &desk.day.classes[class];
         let method = match class.effect {
-            Effect::Safe => "GET",
-            Effect::Unsafe => "POST",
+            RetrySafety::Safe => "GET",
+            RetrySafety::Unsafe => "POST",
         };
         let tenant =
             desk.day.tenants.get(tenant).map(|t| format!("X-Org: {}\r\n", t.name)).unwrap_or_default();
         let again = if desk.day.clients.marks && start.number > 0 { "X-Resent: 1\r\n" } else { "" };
-        let length = if class.effect == Effect::Safe { "" } else { "Content-Length: 0\r\n" };
+        let length = if class.effect == RetrySafety::Safe { "" } else { "Content-Length: 0\r\n" };
         format!(
             "{method} /{name}?sid={key:x}&work={work} HTTP/1.1\r\nHost: service.internal\r\nX-Lane: {name}\r\n\
              X-Txn: {id:016x}\r\nX-Remaining-Ms: {budget}\r\n{tenant}{again}{length}\r\n",
@@ -292,13 +292,13 @@
         let _ = stream.write_all(IMPROPER[turn]).await;
         let read = timeout(Duration::from_nanos(most), stream.read(&mut [0; 64])).await;
         let ended = read.is_ok().then(|| clock.now());
-        self.lock().peers.push(Peer { node, at: from, ended });
+        self.lock().peers.push(InvalidPeer { node, at: from, ended });
     }
 }
 
-fn end(message: &Message, id: u64) -> End {
+fn end(message: &Message, id: u64) -> TryOutcome {
     let seconds: f64 = message.header("retry-after").and_then(|value| value.parse().ok()).unwrap_or(0.0);
-    End::Answered {
+    TryOutcome::Answered {
         status: message.status,
         retry_after: (seconds.clamp(0.0, 3_600.0) * SECOND as f64) as Nanos,
         genuine: message.body == body(id).as_bytes(),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -349,7 +349,7 @@
     for kind in &mut day.fleet.kinds {
         (kind.build.cores, kind.build.slots, kind.build.choke) = (256.0, 256, 0.0);
     }
-    day.load.of_capacity *= rate / day.per_second();
+    day.load.of_capacity *= rate / day.mean_requests_per_second();
     day.rules.served = 0.0;
     Ok(day)
 }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,7 +1,7 @@
 //! What a platform tells a node, made from an experiment, and what discovery writes.
 
 use merlinfold_simulation::discovery::{Listing, Status};
-use merlinfold_simulation::experiment::{Effect, Experiment};
+use merlinfold_simulation::experiment::{Experiment, RetrySafety};
 use merlinfold_simulation::seed::mix;
 use merlinfold_simulation::{millis, SECOND};
 use serde_json::{json, Value};
@@ -19,7 +19,7 @@
 
 /// A list as a node reads it.
 pub fn list(day: &Experiment, listing: &Listing, node: usize, range: &Range, clock: &Clock) -> Value {
-    let kinds = day.kinds();
+    let kinds = day.server_kinds();
     let lines = listing.entries.iter().map(|entry| {
         let kind = &day.fleet.kinds[kinds[entry.server]];
         let status = match entry.status {
@@ -43,16 +43,18 @@
     let class = |class: &merlinfold_simulation::experiment::Class| {
         json!({
             "Name": class.name, "Aim": nanos(class.aim_ms), "GiveUp": nanos(class.deadline_ms),
-            "Semantics": match class.effect { Effect::Safe => "repeatable", Effect::Unsafe => "once" },
+            "Semantics": match class.effect { RetrySafety::Safe => "repeatable", RetrySafety::Unsafe => "once" },
             "Worth": class.worth, "LateValue": 0.0, "Stream": false,
         })
     };
     let tenant = |tenant: &merlinfold_simulation::experiment::Tenant| json!({"Name": tenant.name, "QuotaPerS": tenant.quota_per_s, "Fraction": tenant.share});
     let builds = || day.fleet.kinds.iter().map(|kind| &kind.build);
-    let least =
-        |value: fn(&merlinfold_simulation::server::Spec) -> f64| builds().map(value).fold(f64::MAX, f64::min);
-    let most =
-        |value: fn(&merlinfold_simulation::server::Spec) -> f64| builds().map(value).fold(0.0, f64::max);
+    let least = |value: fn(&merlinfold_simulation::server::ServerSpec) -> f64| {
+        builds().map(value).fold(f64::MAX, f64::min)
+    };
+    let most = |value: fn(&merlinfold_simulation::server::ServerSpec) -> f64| {
+        builds().map(value).fold(0.0, f64::max)
+    };
     json!({
         "Balancers": day.nodes.count, "Me": node,
         "Categories": day.classes.iter().map(class).collect::<Vec<_>>(),
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use merlinfold_simulation::disruptions::ScheduledEvent;
 use merlinfold_simulation::experiment::Experiment;
-use merlinfold_simulation::ledger::{Breach, Ledger, Life};
-use merlinfold_simulation::report::{lab, report, Report, Usage};
+use merlinfold_simulation::ledger::{Ledger, ProcessEvent, Violation};
+use merlinfold_simulation::report::{build_report, harness_timing, Report, Usage};
 use merlinfold_simulation::seed::Seed;
-use merlinfold_simulation::trouble::Change;
 use merlinfold_simulation::{millis, Nanos, SECOND};
 use rustix::process::Signal;
 use tokio::sync::mpsc;
@@ -56,7 +56,7 @@
     /// The figures.
     pub report: Report,
     /// Laws broken.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// The last lines of the logs of nodes that failed.
     pub tails: Vec<String>,
 }
@@ -98,7 +98,7 @@
     folder: Folder,
     nodes: Vec<Option<Process>>,
     starts: u64,
-    lives: Vec<(Nanos, usize, Life)>,
+    lives: Vec<(Nanos, usize, ProcessEvent)>,
     marks: Vec<(Nanos, String)>,
     used: Vec<Usage>,
     tails: Vec<String>,
@@ -110,7 +110,7 @@
 
 /// Plays it. `progress` is told how much of the day has passed. Dropping the future ends all that was started.
 pub async fn play(plan: Plan, progress: impl Fn(Duration)) -> Result<Played, String> {
-    plan.day.check().map_err(|fault| format!("{}: {fault}", plan.name))?;
+    plan.day.validate().map_err(|fault| format!("{}: {fault}", plan.name))?;
     let seed = Seed(plan.day.seed);
     let clock = Clock::default();
     let range = Arc::new(Range::claim()?);
@@ -148,7 +148,8 @@
         clock.start();
         conductor.servers.tick();
         wake.notify_one();
-        let most = Duration::from_nanos(conductor.plan.day.length() + 4 * conductor.plan.day.longest());
+        let most =
+            Duration::from_nanos(conductor.plan.day.duration() + 4 * conductor.plan.day.max_deadline());
         let mut look = interval(LOOK);
         let end = tokio::time::sleep(most + Duration::from_secs(10));
         tokio::pin!(end);
@@ -205,14 +206,14 @@
         }
         let now = self.clock.now();
         let life = match self.nodes[node].as_mut().and_then(Process::ended) {
-            Some(how) => Life::Crashed(how),
-            None => Life::NeverReady,
+            Some(how) => ProcessEvent::Crashed(how),
+            None => ProcessEvent::NeverReady,
         };
         self.fault(now, node, life);
         false
     }
 
-    fn fault(&mut self, at: Nanos, node: usize, life: Life) {
+    fn fault(&mut self, at: Nanos, node: usize, life: ProcessEvent) {
         if let Some(process) = &self.nodes[node] {
             self.tails.push(format!("node {node}:\n{}", process.tail()));
         }
@@ -224,34 +225,34 @@
         self.load.node(node, Some(at + millis(self.plan.day.nodes.notice_ms)));
     }
 
-    fn change(&mut self, at: Nanos, change: Change) -> Result<(), String> {
+    fn change(&mut self, at: Nanos, change: ScheduledEvent) -> Result<(), String> {
         match change {
-            Change::Mark(what) => self.marks.push((at, what)),
-            Change::NodeKill(node) => {
+            ScheduledEvent::Mark(what) => self.marks.push((at, what)),
+            ScheduledEvent::NodeKill(node) => {
                 if let Some(process) = self.nodes[node].take() {
                     process.signal(true);
                     let killed = self.clock.now(); // what it was sent until now it may have taken
-                    self.lives.push((killed, node, Life::Stopped { killed: true }));
+                    self.lives.push((killed, node, ProcessEvent::Stopped { killed: true }));
                     self.gone(node, killed);
                 }
             }
-            Change::NodeStart(node) => {
+            ScheduledEvent::NodeStart(node) => {
                 self.spawn(node)?;
                 self.when_ready(node);
             }
-            Change::NodeRoll(node) => {
+            ScheduledEvent::NodeRoll(node) => {
                 if let Some(mut process) = self.nodes[node].take() {
                     process.look();
                     process.signal(false);
-                    self.lives.push((at, node, Life::Stopped { killed: false }));
-                    let most = Duration::from_nanos(self.plan.day.longest().min(LONGEST_COUNTED) + STOP);
+                    self.lives.push((at, node, ProcessEvent::Stopped { killed: false }));
+                    let most = Duration::from_nanos(self.plan.day.max_deadline().min(LONGEST_COUNTED) + STOP);
                     self.rolls.spawn(async move {
                         let status = process.wait(most).await;
                         (node, process, status)
                     });
                 }
             }
-            Change::NodePause(node) => {
+            ScheduledEvent::NodePause(node) => {
                 if let Some(process) = &self.nodes[node] {
                     process.send(Signal::STOP);
                     let resume = process.resumer();
@@ -261,7 +262,7 @@
                     });
                 }
             }
-            Change::SilentPeers(rate) => self.peers_a_second = rate,
+            ScheduledEvent::SilentPeers(rate) => self.peers_a_second = rate,
             _ => {}
         }
         Ok(())
@@ -285,12 +286,12 @@
         match status {
             None => {
                 process.signal(true);
-                self.lives.push((now, node, Life::Stopped { killed: true }));
-                self.lives.push((now, node, Life::Overstayed));
+                self.lives.push((now, node, ProcessEvent::Stopped { killed: true }));
+                self.lives.push((now, node, ProcessEvent::Overstayed));
             }
             Some(status) if !status.success() => {
                 self.tails.push(format!("node {node}:\n{}", process.tail()));
-                self.lives.push((now, node, Life::Crashed(format!("after SIGTERM: {status}"))));
+                self.lives.push((now, node, ProcessEvent::Crashed(format!("after SIGTERM: {status}"))));
             }
             Some(_) => {}
         }
@@ -307,7 +308,7 @@
         for (node, place) in self.nodes.iter_mut().enumerate() {
             let Some(process) = place else { continue };
             if let Some(how) = process.ended() {
-                faults.push((node, Life::Crashed(how)));
+                faults.push((node, ProcessEvent::Crashed(how)));
                 continue;
             }
             let used = process.look();
@@ -317,10 +318,10 @@
             most.cpu_s = most.cpu_s.max(used.cpu_s);
             if used.memory_mb > limit.memory_mb {
                 let what = format!("{:.1} MB of {} MB of memory", used.memory_mb, limit.memory_mb);
-                faults.push((node, Life::Exceeded(what)));
+                faults.push((node, ProcessEvent::Exceeded(what)));
             } else if used.descriptors >= limit.sockets as u64 {
                 let what = format!("all of its {} descriptors are in use", limit.sockets);
-                faults.push((node, Life::Exceeded(what)));
+                faults.push((node, ProcessEvent::Exceeded(what)));
             }
         }
         for (node, life) in faults {
@@ -347,35 +348,37 @@
         let peers = Duration::from_nanos(2 * millis(day.rules.bad_peer_ms));
         let _ = timeout(peers, async { while self.peers.join_next().await.is_some() {} }).await;
         let now = self.clock.now();
-        let most = Duration::from_nanos(day.longest().max(3 * SECOND) + STOP);
+        let most = Duration::from_nanos(day.max_deadline().max(3 * SECOND) + STOP);
         self.nodes.iter().flatten().for_each(|process| process.signal(false));
         for node in 0..self.nodes.len() {
             let Some(mut process) = self.nodes[node].take() else { continue };
             let life = match process.wait(most).await {
-                None => Some(Life::Overstayed),
-                Some(status) if !status.success() => Some(Life::Crashed(format!("after SIGTERM: {status}"))),
+                None => Some(ProcessEvent::Overstayed),
+                Some(status) if !status.success() => {
+                    Some(ProcessEvent::Crashed(format!("after SIGTERM: {status}")))
+                }
                 Some(_) => None,
             };
             self.lives.extend(life.map(|life| (now, node, life)));
         }
         let (of_servers, of_clients) = (self.servers.seen(), self.load.seen());
         let ledger = Ledger {
-            wishes: of_clients.wishes,
+            plans: of_clients.wishes,
             tries: of_clients.tries,
-            runs: of_servers.runs,
-            told: of_servers.told,
+            attempts: of_servers.runs,
+            notifications: of_servers.told,
             peers: of_clients.peers,
-            nodes: self.lives,
-            falls: of_servers.falls,
+            process_events: self.lives,
+            overload_crashes: of_servers.falls,
             marks: self.marks,
         };
         let mut late = of_clients.late;
         late.add(of_servers.late).map_err(|error| format!("lateness: {error}"))?;
-        let mut report = report(&day, &ledger);
-        let breaches = report.judge(&day, &ledger);
+        let mut report = build_report(&day, &ledger);
+        let breaches = report.add_violations(&day, &ledger);
         report.experiment = self.plan.name;
         report.nodes = self.plan.nodes.name();
-        report.lab = lab(&late, day.rules.lateness_ms);
+        report.lab = harness_timing(&late, day.rules.lateness_ms);
         report.usage = self.used;
         Ok(Played { report, breaches, tails: self.tails })
     }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -10,15 +10,15 @@
 
 use hdrhistogram::Histogram;
 use merlinfold_simulation::discovery::{Listing, Status};
+use merlinfold_simulation::disruptions::{outages, ScheduledEvent};
 use merlinfold_simulation::experiment::Experiment;
-use merlinfold_simulation::fleet::{Effect, Fleet};
-use merlinfold_simulation::ledger::Run;
-use merlinfold_simulation::list_faults::{ListFault, ListFaults};
+use merlinfold_simulation::fleet::{Fleet, FleetEvent};
+use merlinfold_simulation::ledger::AttemptRecord;
+use merlinfold_simulation::list_faults::{ListFault, ListFaultSampler};
+use merlinfold_simulation::notifications::{add_implied_notifications, Notification};
 use merlinfold_simulation::report::{histogram, micros};
 use merlinfold_simulation::seed::{mix, Seed};
-use merlinfold_simulation::server::{Arrival, Done, Reply};
-use merlinfold_simulation::told::{told_by_default, Told};
-use merlinfold_simulation::trouble::{outages, Change};
+use merlinfold_simulation::server::{Arrival, Completion, Reply};
 use merlinfold_simulation::{Nanos, MS};
 use serde_json::Value;
 use socket2::SockRef;
@@ -66,18 +66,18 @@
     shown: Arc<Range>, // the addresses in lists: those of relays, where there are any
     gates: Vec<watch::Sender<(Gate, u64)>>,
     listeners: Vec<Vec<AbortHandle>>, // of each server, one for each node
-    waiting: HashMap<u64, (usize, oneshot::Sender<Done>)>, // by attempt: its line in `runs`
+    waiting: HashMap<u64, (usize, oneshot::Sender<Completion>)>, // by attempt: its line in `runs`
     calls: HashMap<u64, oneshot::Sender<Option<Listing>>>,
     known_since: BTreeMap<(usize, usize), Nanos>, // by node and server: the last start that it was told of
-    runs: Vec<Run>,
-    told: Vec<Told>,
-    list_faults: ListFaults,
+    runs: Vec<AttemptRecord>,
+    told: Vec<Notification>,
+    list_faults: ListFaultSampler,
     seed: Seed,
     restarts: usize, // of discovery, which counts its versions anew after each
     written: HashMap<usize, (usize, u64)>, // by node: restarts before the newest list written to it, and its version
     next: u64,
-    effects: Vec<Effect>,
-    changes: mpsc::UnboundedSender<(Nanos, Change)>,
+    effects: Vec<FleetEvent>,
+    changes: mpsc::UnboundedSender<(Nanos, ScheduledEvent)>,
     reopen: mpsc::UnboundedSender<usize>,
     timer: Timer,
     late: Histogram<u64>,
@@ -90,11 +90,11 @@
 /// What the servers saw.
 pub struct Seen {
     /// Attempts.
-    pub runs: Vec<Run>,
+    pub runs: Vec<AttemptRecord>,
     /// What nodes were told.
-    pub told: Vec<Told>,
+    pub told: Vec<Notification>,
     /// Servers that fell over.
-    pub falls: Vec<(usize, merlinfold_simulation::server::Fall)>,
+    pub falls: Vec<(usize, merlinfold_simulation::server::OverloadCrash)>,
     /// Lateness of the thread's timer, in microseconds.
     pub late: Histogram<u64>,
 }
@@ -103,11 +103,11 @@
     /// Opens all sockets in a thread of their own, and shows lists with the addresses in `shown`; what concerns others goes to `changes`.
     pub fn start(
         day: &Experiment, seed: Seed, clock: &Clock, range: &Arc<Range>, shown: &Arc<Range>,
-        changes: mpsc::UnboundedSender<(Nanos, Change)>,
+        changes: mpsc::UnboundedSender<(Nanos, ScheduledEvent)>,
     ) -> Result<(Self, oneshot::Sender<()>), String> {
         let wake = Arc::new(Notify::new());
         let (reopen, reopened) = mpsc::unbounded_channel();
-        let count = day.servers();
+        let count = day.server_count();
         let hub = Hub {
             day: day.clone(),
             fleet: Fleet::new(day, seed),
@@ -121,7 +121,7 @@
             known_since: BTreeMap::new(),
             runs: Vec::new(),
             told: Vec::new(),
-            list_faults: ListFaults::new(seed),
+            list_faults: ListFaultSampler::new(seed),
             seed,
             restarts: 0,
             written: HashMap::new(),
@@ -157,7 +157,7 @@
     ) {
         let (servers, nodes) = {
             let hub = self.lock();
-            (hub.day.servers(), hub.day.nodes.count)
+            (hub.day.server_count(), hub.day.nodes.count)
         };
         let mut tasks = JoinSet::new();
         let opened = (0..servers).try_for_each(|server| self.listen(server)).and_then(|()| {
@@ -202,7 +202,7 @@
     /// The list for a node that starts now, which thereby knows it.
     pub fn known(&self, node: usize) -> Value {
         let mut hub = self.lock();
-        let listing = hub.fleet.list();
+        let listing = hub.fleet.server_list();
         hub.known_since.retain(|&(of, _), _| of != node);
         let restarts = hub.restarts;
         hub.note(node, restarts, &listing);
@@ -212,12 +212,13 @@
     /// What has been seen so far.
     pub fn seen(&self) -> Seen {
         let mut hub = self.lock();
-        let falls = hub.fleet.servers().iter().enumerate().filter_map(|(n, s)| s.fallen().map(|f| (n, f)));
+        let falls =
+            hub.fleet.servers().iter().enumerate().filter_map(|(n, s)| s.overload_crash().map(|f| (n, f)));
         let falls = falls.collect();
         let mut told = std::mem::take(&mut hub.told);
-        told_by_default(
+        add_implied_notifications(
             &mut told,
-            hub.fleet.shown(),
+            hub.fleet.published_changes(),
             hub.day.nodes.count,
             TOLD_LATEST,
             &outages(&hub.day, hub.seed),
@@ -249,7 +250,7 @@
 
 impl Hub {
     /// Lets the models act, carries out what they say, and sets the timer.
-    fn act(&mut self, act: impl FnOnce(&mut Fleet, &mut Vec<Effect>)) {
+    fn act(&mut self, act: impl FnOnce(&mut Fleet, &mut Vec<FleetEvent>)) {
         let mut effects = std::mem::take(&mut self.effects);
         act(&mut self.fleet, &mut effects);
         for effect in effects.drain(..) {
@@ -259,41 +260,41 @@
         self.timer.set(self.fleet.next_due());
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn carry_out(&mut self, effect: FleetEvent) {
         let now = self.clock.now();
         match effect {
-            Effect::Done(_, done) => {
+            FleetEvent::Completed(_, done) => {
                 if let Some((line, sender)) = self.waiting.remove(&done.job) {
                     let run = &mut self.runs[line];
                     run.ended = Some(now);
-                    run.ran = done.ran;
+                    run.executed = done.executed;
                     run.reply = Some(done.reply);
                     let _ = sender.send(done); // its connection may have ended
                 }
             }
-            Effect::Refuse(server) => {
+            FleetEvent::RefuseConnections(server) => {
                 self.listeners[server].drain(..).for_each(|task| task.abort());
                 self.gates[server].send_modify(|gate| *gate = (Gate::Closed, gate.1 + 1));
             }
-            Effect::Silence(server) => {
+            FleetEvent::SilenceConnections(server) => {
                 self.gates[server].send_modify(|gate| *gate = (Gate::Silent, gate.1 + 1));
             }
-            Effect::Listen(server) => {
+            FleetEvent::AcceptConnections(server) => {
                 // Whatever a silent machine held is reset once it is back.
                 self.gates[server].send_modify(|gate| *gate = (Gate::Closed, gate.1 + 1));
                 self.listeners[server].drain(..).for_each(|task| task.abort());
                 self.gates[server] = watch::channel((Gate::Open, 0)).0;
                 let _ = self.reopen.send(server);
             }
-            Effect::Told(answer) => {
+            FleetEvent::DiscoveryCallEnded(answer) => {
                 if let Some(sender) = self.calls.remove(&answer.call) {
                     let _ = sender.send(answer.listing);
                 }
             }
-            Effect::Other(change) => {
+            FleetEvent::Scheduled(change) => {
                 match change {
-                    Change::ListFaults(share) => self.list_faults.set_share(share),
-                    Change::Discovery { down: false } => self.restarts += 1,
+                    ScheduledEvent::ListFaults(share) => self.list_faults.set_share(share),
+                    ScheduledEvent::Discovery { down: false } => self.restarts += 1,
                     _ => {}
                 }
                 let _ = self.changes.send((now, change));
--- a/crates/lab/src/servers/connections.rs
+++ b/crates/lab/src/servers/connections.rs
@@ -9,7 +9,7 @@
                 Ok((stream, _)) => {
                     let (gate, taken) = {
                         let mut hub = self.lock();
-                        (hub.gates[server].subscribe(), hub.fleet.open(server))
+                        (hub.gates[server].subscribe(), hub.fleet.open_connection(server))
                     };
                     tokio::spawn(self.clone().connection(node, server, stream, gate, taken));
                 }
@@ -29,7 +29,7 @@
         let _ = stream.set_nodelay(true);
         let ended = self.serve(node, server, &mut stream, &mut gate, taken).await;
         if taken && gate.borrow().1 == number {
-            self.lock().fleet.closed(server); // a server that died has forgotten all of them
+            self.lock().fleet.connection_closed(server); // a server that died has forgotten all of them
         }
         if ended == Ending::Reset {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO)); // the close becomes a reset
@@ -99,9 +99,9 @@
 
     /// Waits for the end of an attempt; none if whoever sent it closed the connection first.
     async fn outcome(
-        &self, server: usize, job: u64, mut done: oneshot::Receiver<Done>, stream: &mut TcpStream,
+        &self, server: usize, job: u64, mut done: oneshot::Receiver<Completion>, stream: &mut TcpStream,
         reader: &mut Reader, gate: &mut watch::Receiver<(Gate, u64)>,
-    ) -> Option<Done> {
+    ) -> Option<Completion> {
         loop {
             tokio::select! {
                 biased;
@@ -120,7 +120,7 @@
                 read = reader.fill(stream) => if !matches!(read, Ok(1..)) {
                     let mut hub = self.lock();
                     let now = hub.clock.now();
-                    hub.act(|fleet, effects| fleet.abandoned(now, server, job, effects));
+                    hub.act(|fleet, effects| fleet.attempt_abandoned(now, server, job, effects));
                     return None;
                 },
             }
@@ -130,9 +130,9 @@
     /// Writes an arrival down and hands it to its server; none if it is no request of the protocol's.
     fn arrived(
         &self, node: usize, server: usize, request: &Message, fresh: bool,
-    ) -> Option<(u64, u64, oneshot::Receiver<Done>)> {
+    ) -> Option<(u64, u64, oneshot::Receiver<Completion>)> {
         let id = u64::from_str_radix(request.header("x-txn")?, 16).ok()?;
-        let class = request.header("x-lane").and_then(|name| self.lock().day.class(name))?;
+        let class = request.header("x-lane").and_then(|name| self.lock().day.class_index(name))?;
         let stated = request.query("work").and_then(|work| work.parse().ok());
         let remaining: Nanos = request.header("x-remaining-ms").and_then(|ms| ms.parse().ok()).unwrap_or(0);
         let (sender, done) = oneshot::channel();
@@ -140,14 +140,29 @@
         let now = hub.clock.now();
         hub.next += 1;
         let job = hub.next;
-        let since = hub.fleet.since(server);
+        let since = hub.fleet.started_at(server);
         let told = hub.known_since.get(&(node, server)).is_some_and(|&known| known >= since);
         let line = hub.runs.len();
-        hub.runs.push(Run { id, node, server, arrived: now, ended: None, reply: None, ran: false });
+        hub.runs.push(AttemptRecord {
+            id,
+            node,
+            server,
+            arrived: now,
+            ended: None,
+            reply: None,
+            executed: false,
+        });
         hub.waiting.insert(job, (line, sender));
         let work = stated.unwrap_or(UNSTATED);
-        let arrival = Arrival { job, class, work, expires: now + remaining * MS, fresh, told };
-        hub.act(|fleet, effects| fleet.request(now, server, arrival, effects));
+        let arrival = Arrival {
+            job,
+            class,
+            work,
+            expires: now + remaining * MS,
+            new_connection: fresh,
+            notified_of_start: told,
+        };
+        hub.act(|fleet, effects| fleet.receive_request(now, server, arrival, effects));
         Some((job, id, done))
     }
 }
--- a/crates/lab/src/servers/lists.rs
+++ b/crates/lab/src/servers/lists.rs
@@ -23,7 +23,7 @@
             }
             let number = |name| request.query(name).and_then(|value| value.parse::<u64>().ok());
             let watch = number("index").map(|index| (index, number("wait").unwrap_or(0).min(60_000) * MS));
-            let fault = self.lock().list_faults.draw(node);
+            let fault = self.lock().list_faults.sample(node);
             match fault {
                 Some(ListFault::Silent) => return drop(reader.fill(&mut stream).await),
                 Some(ListFault::Refused) => {
@@ -44,7 +44,7 @@
                     let _ = read; // one call at a time: whatever comes meanwhile ends it
                     let mut hub = self.lock();
                     hub.calls.remove(&call);
-                    hub.fleet.call_left(call);
+                    hub.fleet.cancel_discovery_call(call);
                     return;
                 }
             };
@@ -76,7 +76,7 @@
         hub.next += 1;
         let (call, now) = (hub.next, hub.clock.now());
         hub.calls.insert(call, sender);
-        hub.act(|fleet, effects| fleet.call(now, call, watch, effects));
+        hub.act(|fleet, effects| fleet.call_discovery(now, call, watch, effects));
         (call, told)
     }
 }
@@ -92,7 +92,7 @@
         }
         *newest = version;
         for entry in &listing.entries {
-            self.told.push(Told { node, server: entry.server, status: entry.status, at });
+            self.told.push(Notification { node, server: entry.server, status: entry.status, at });
             let since = if entry.status == Status::InService { Some(entry.since) } else { None };
             if let Some(since) = since {
                 self.known_since.insert((node, entry.server), since);
@@ -100,9 +100,9 @@
         }
         if listing.snapshot {
             let listed: Vec<usize> = listing.entries.iter().map(|entry| entry.server).collect();
-            let gone = (0..self.day.servers()).filter(|server| !listed.contains(server));
+            let gone = (0..self.day.server_count()).filter(|server| !listed.contains(server));
             let gone: Vec<usize> = gone.collect();
-            let told = |server| Told { node, server, status: Status::Terminated, at };
+            let told = |server| Notification { node, server, status: Status::Terminated, at };
             self.told.extend(gone.into_iter().map(told));
         }
     }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -12,17 +12,17 @@
 };
 use merlinfold_decide::policy::Balancer;
 use merlinfold_settings::{NameTables, NamedServer, PlatformSettings};
-use merlinfold_simulation::clients::{Clients, End, Try};
+use merlinfold_simulation::clients::{Clients, Try, TryOutcome};
 use merlinfold_simulation::discovery::{Listing, Status};
+use merlinfold_simulation::disruptions::{outages, ScheduledEvent};
 use merlinfold_simulation::experiment::Experiment;
-use merlinfold_simulation::fleet::{Effect, Fleet};
-use merlinfold_simulation::front::Front;
-use merlinfold_simulation::ledger::{Breach, Ledger, Life as NodeLife, Run, Tried};
-use merlinfold_simulation::report::{report, Report};
+use merlinfold_simulation::fleet::{Fleet, FleetEvent};
+use merlinfold_simulation::ledger::{AttemptRecord, Ledger, ProcessEvent as NodeLife, TryRecord, Violation};
+use merlinfold_simulation::node_balancer::NodeBalancer;
+use merlinfold_simulation::notifications::{add_implied_notifications, Notification};
+use merlinfold_simulation::report::{build_report, Report};
 use merlinfold_simulation::seed::{mix, Seed, Stream};
-use merlinfold_simulation::server::{Arrival, Life, Reply};
-use merlinfold_simulation::told::{told_by_default, Told};
-use merlinfold_simulation::trouble::{outages, Change};
+use merlinfold_simulation::server::{Arrival, Reply, ServerState};
 use merlinfold_simulation::{millis, Nanos, MS, SECOND};
 
 use crate::platform;
@@ -115,10 +115,10 @@
     clients_at: Nanos,
     fleet: Fleet,
     clients: Clients,
-    front: Front,
+    front: NodeBalancer,
     rng: Stream,
     nodes: Vec<Node>,
-    tries: BTreeMap<u64, (Tried, RequestId)>,
+    tries: BTreeMap<u64, (TryRecord, RequestId)>,
     attempts: BTreeMap<u64, Attempt>,
     calls: BTreeMap<u64, (usize, u32)>,
     next: u64,
@@ -126,8 +126,8 @@
 }
 
 /// Plays a day; always to the same end.
-pub fn play(name: &str, day: &Experiment) -> Result<(Report, Vec<Breach>), String> {
-    day.check().map_err(|fault| format!("{name}: {fault}"))?;
+pub fn play(name: &str, day: &Experiment) -> Result<(Report, Vec<Violation>), String> {
+    day.validate().map_err(|fault| format!("{name}: {fault}"))?;
     let seed = Seed(day.seed);
     let nodes: Result<Vec<Node>, String> = (0..day.nodes.count).map(|node| Node::new(day, node, 0)).collect();
     let mut sim = Sim {
@@ -139,7 +139,7 @@
         clients_at: Nanos::MAX,
         fleet: Fleet::new(day, seed),
         clients: Clients::new(day, seed),
-        front: Front::new((0..day.nodes.count).map(|node| day.zone_of_node(node)).collect()),
+        front: NodeBalancer::new((0..day.nodes.count).map(|node| day.zone_of_node(node)).collect()),
         rng: seed.stream("front", 0),
         nodes: nodes?,
         tries: BTreeMap::new(),
@@ -164,12 +164,19 @@
         }
     }
     let mut ledger = sim.ledger;
-    ledger.wishes = sim.clients.wishes().to_vec();
+    ledger.plans = sim.clients.plans().to_vec();
     let servers = sim.fleet.servers().iter().enumerate();
-    ledger.falls = servers.filter_map(|(n, server)| server.fallen().map(|fall| (n, fall))).collect();
-    told_by_default(&mut ledger.told, sim.fleet.shown(), day.nodes.count, TOLD_LATEST, &outages(day, seed));
-    let mut report = report(day, &ledger);
-    let breaches = report.judge(day, &ledger);
+    ledger.overload_crashes =
+        servers.filter_map(|(n, server)| server.overload_crash().map(|fall| (n, fall))).collect();
+    add_implied_notifications(
+        &mut ledger.notifications,
+        sim.fleet.published_changes(),
+        day.nodes.count,
+        TOLD_LATEST,
+        &outages(day, seed),
+    );
+    let mut report = build_report(day, &ledger);
+    let breaches = report.add_violations(day, &ledger);
     report.experiment = name.to_owned();
     report.nodes = "the decision module, in virtual time".to_owned();
     Ok((report, breaches))
@@ -182,7 +189,7 @@
         let mut names = NameTables::default();
         let settings = env.decision_settings(&mut names)?;
         // Servers are numbered as in the day.
-        for server in 0..day.servers() {
+        for server in 0..day.server_count() {
             names.servers.intern(&platform::server_name(server));
         }
         let seed = mix(day.seed ^ mix(node as u64 * 1_000 + u64::from(life)));
@@ -195,7 +202,7 @@
             open: BTreeMap::new(),
             next: 0,
             index: None,
-            idle: vec![0; day.servers()],
+            idle: vec![0; day.server_count()],
             since: BTreeMap::new(),
         })
     }
@@ -208,9 +215,9 @@
     }
 
     fn start_node(&mut self, node: usize) {
-        let whole = self.fleet.list();
+        let whole = self.fleet.server_list();
         self.hear(node, ListKind::Persisted, &whole);
-        self.front.ready(node);
+        self.front.node_ready(node);
         let life = self.nodes[node].life;
         if !self.day.nodes.ask {
             self.at(self.now, Due::Asks(node, life));
@@ -228,19 +235,19 @@
             }
             Due::Clients => {
                 self.clients_at = Nanos::MAX;
-                while let Some(start) = self.clients.start(self.now) {
+                while let Some(start) = self.clients.start_try(self.now) {
                     self.attend(start);
                 }
                 self.look_at_clients();
             }
             Due::Asked(node, id) => self.asked(node, id),
             Due::Answered(id, status, retry_after, genuine) => {
-                self.end_try(id, End::Answered { status, retry_after, genuine });
+                self.end_try(id, TryOutcome::Answered { status, retry_after, genuine });
             }
             Due::Patience(id) => {
                 if let Some((tried, _)) = self.tries.get(&id) {
-                    let left = tried.is.leaves_after.is_some();
-                    self.end_try(id, if left { End::Left } else { End::Unanswered });
+                    let left = tried.client_try.abandon_after.is_some();
+                    self.end_try(id, if left { TryOutcome::Left } else { TryOutcome::Unanswered });
                 }
             }
             Due::Timer(node, life, token) if self.nodes[node].life == life && self.nodes[node].up => {
@@ -252,7 +259,7 @@
             Due::TimesOut(job) => {
                 if let Some((server, true)) = self.attempts.get(&job).map(|a| (a.server, a.open)) {
                     self.ends(job, Outcome::Timeout);
-                    self.fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
+                    self.fleet(|fleet, now, out| fleet.attempt_abandoned(now, server, job, out));
                 }
             }
             Due::Asks(node, life) => {
@@ -261,7 +268,7 @@
                     let call = self.next;
                     self.calls.insert(call, (node, life));
                     let watch = self.nodes[node].index.map(|index| (index, WATCH));
-                    self.fleet(|fleet, now, out| fleet.call(now, call, watch, out));
+                    self.fleet(|fleet, now, out| fleet.call_discovery(now, call, watch, out));
                 }
             }
             Due::NodeStart(node) => {
@@ -273,7 +280,7 @@
         Ok(())
     }
 
-    fn fleet(&mut self, act: impl FnOnce(&mut Fleet, Nanos, &mut Vec<Effect>)) {
+    fn fleet(&mut self, act: impl FnOnce(&mut Fleet, Nanos, &mut Vec<FleetEvent>)) {
         let mut effects = Vec::new();
         act(&mut self.fleet, self.now, &mut effects);
         for effect in effects {
@@ -301,22 +308,22 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn carry_out(&mut self, effect: FleetEvent) {
         match effect {
-            Effect::Done(_, done) => {
+            FleetEvent::Completed(_, done) => {
                 let Some(attempt) = self.attempts.get(&done.job) else { return };
-                if let Some(run) = attempt.line.and_then(|line| self.ledger.runs.get_mut(line)) {
-                    (run.ended, run.ran, run.reply) = (Some(self.now), done.ran, Some(done.reply));
+                if let Some(run) = attempt.line.and_then(|line| self.ledger.attempts.get_mut(line)) {
+                    (run.ended, run.executed, run.reply) = (Some(self.now), done.executed, Some(done.reply));
                 }
                 if done.reply != Reply::Silence {
                     self.at(self.now + SERVER_WAY, Due::Ends(done.job, code(done.reply)));
                 }
             }
-            Effect::Refuse(server) | Effect::Listen(server) => {
+            FleetEvent::RefuseConnections(server) | FleetEvent::AcceptConnections(server) => {
                 self.nodes.iter_mut().for_each(|node| node.idle[server] = 0);
             }
-            Effect::Silence(_) => {}
-            Effect::Told(answer) => {
+            FleetEvent::SilenceConnections(_) => {}
+            FleetEvent::DiscoveryCallEnded(answer) => {
                 let Some((node, life)) = self.calls.remove(&answer.call) else { return };
                 if self.nodes[node].life != life || !self.nodes[node].up {
                     return;
@@ -340,36 +347,36 @@
                     }
                 }
             }
-            Effect::Other(change) => self.other(change),
+            FleetEvent::Scheduled(change) => self.other(change),
         }
     }
 
-    fn other(&mut self, change: Change) {
+    fn other(&mut self, change: ScheduledEvent) {
         match change {
-            Change::Mark(what) => self.ledger.marks.push((self.now, what)),
-            Change::NodeKill(node) => {
-                self.ledger.nodes.push((self.now, node, NodeLife::Stopped { killed: true }));
+            ScheduledEvent::Mark(what) => self.ledger.marks.push((self.now, what)),
+            ScheduledEvent::NodeKill(node) => {
+                self.ledger.process_events.push((self.now, node, NodeLife::Stopped { killed: true }));
                 self.end_node(node);
             }
-            Change::NodeStart(node) => self.at(self.now, Due::NodeStart(node)),
-            Change::NodeRoll(node) => {
+            ScheduledEvent::NodeStart(node) => self.at(self.now, Due::NodeStart(node)),
+            ScheduledEvent::NodeRoll(node) => {
                 // It takes nothing new and answers what it has; by then it has ended.
-                self.ledger.nodes.push((self.now, node, NodeLife::Stopped { killed: false }));
-                self.front.gone(node, self.now);
+                self.ledger.process_events.push((self.now, node, NodeLife::Stopped { killed: false }));
+                self.front.node_stopped(node, self.now);
                 self.nodes[node].leaving = true;
-                self.at(self.now + self.day.longest() + RESTART, Due::NodeStart(node));
+                self.at(self.now + self.day.max_deadline() + RESTART, Due::NodeStart(node));
             }
             _ => {}
         }
     }
 
     fn end_node(&mut self, node: usize) {
-        self.front.gone(node, self.now + millis(self.day.nodes.notice_ms));
+        self.front.node_stopped(node, self.now + millis(self.day.nodes.notice_ms));
         self.nodes[node].up = false;
         let out: Vec<u64> =
             self.tries.iter().filter(|(_, (t, _))| t.node == Some(node)).map(|(&id, _)| id).collect();
         for id in out {
-            self.end_try(id, End::Closed);
+            self.end_try(id, TryOutcome::Closed);
         }
         let jobs: Vec<(u64, usize)> = self
             .attempts
@@ -381,45 +388,45 @@
             })
             .collect();
         for (job, server) in jobs {
-            self.fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
+            self.fleet(|fleet, now, out| fleet.attempt_abandoned(now, server, job, out));
         }
     }
 
     fn attend(&mut self, start: Try) {
-        let node = self.front.pick(self.now, start.wish.zone, &mut self.rng);
+        let node = self.front.pick_node(self.now, start.plan.zone, &mut self.rng);
         let reached = node.filter(|&node| self.nodes[node].up && !self.nodes[node].leaving);
         let written = reached.map(|_| self.now);
-        let tried = Tried {
-            is: start,
+        let tried = TryRecord {
+            client_try: start,
             node,
-            written,
-            first: true,
-            closed: None,
+            written_at: written,
+            first_on_connection: true,
+            closed_at: None,
             ended: 0,
-            end: End::Unreachable,
-            extra: false,
+            outcome: TryOutcome::Unreachable,
+            extra_data: false,
         };
         self.tries.insert(start.id, (tried, RequestId(u64::MAX)));
         match reached {
             Some(node) => {
                 let most = start.budget + millis(self.day.rules.grace_ms);
-                let most = start.leaves_after.map_or(most, |leaves| most.min(leaves));
+                let most = start.abandon_after.map_or(most, |leaves| most.min(leaves));
                 self.at(self.now + most, Due::Patience(start.id));
                 self.at(self.now + CLIENT_WAY, Due::Asked(node, start.id));
             }
-            None => self.end_try(start.id, End::Unreachable),
+            None => self.end_try(start.id, TryOutcome::Unreachable),
         }
     }
 
-    fn end_try(&mut self, id: u64, end: End) {
+    fn end_try(&mut self, id: u64, end: TryOutcome) {
         let Some((mut tried, request)) = self.tries.remove(&id) else { return };
-        (tried.ended, tried.end) = (self.now, end);
+        (tried.ended, tried.outcome) = (self.now, end);
         self.ledger.tries.push(tried);
-        self.clients.ended(self.now, id, end);
+        self.clients.try_ended(self.now, id, end);
         self.look_at_clients();
         let Some(node) = tried.node.filter(|&node| self.nodes[node].up) else { return };
         let waits = self.nodes[node].open.get(&request).is_some_and(|open| !open.answered);
-        if waits && matches!(end, End::Left | End::Unanswered) {
+        if waits && matches!(end, TryOutcome::Left | TryOutcome::Unanswered) {
             self.give(node, Event::ClientGone(request));
             self.settle(node, request);
         }
@@ -435,16 +442,16 @@
         *request = RequestId(own.next);
         let id_at_node = *request;
         own.open.insert(id_at_node, Open { id, attempts: Vec::new(), answered: false });
-        let start = tried.is;
+        let start = tried.client_try;
         let budget = start.budget.saturating_sub(2 * CLIENT_WAY + MARGIN);
-        let tenant = (!self.day.tenants.is_empty()).then_some(start.wish.tenant);
+        let tenant = (!self.day.tenants.is_empty()).then_some(start.plan.tenant);
         self.give(
             node,
             Event::Request(Request {
                 id: id_at_node,
-                class: start.wish.class,
+                class: start.plan.class,
                 tenant,
-                key: Some(start.wish.key),
+                key: Some(start.plan.key),
                 client_timeout: budget,
                 cost_hint: None,
                 is_retry: self.day.clients.marks && start.number > 0,
@@ -455,7 +462,7 @@
     }
 
     fn hear(&mut self, node: usize, kind: ListKind, listing: &Listing) {
-        let kinds = self.day.kinds();
+        let kinds = self.day.server_kinds();
         let own = &mut self.nodes[node];
         let mut entries = Vec::new();
         for entry in &listing.entries {
@@ -477,13 +484,13 @@
                 own.since.insert(entry.server, entry.since);
             }
             let (server, status, at) = (entry.server, entry.status, self.now);
-            self.ledger.told.push(Told { node, server, status, at });
+            self.ledger.notifications.push(Notification { node, server, status, at });
         }
         if listing.snapshot {
-            for server in 0..self.day.servers() {
+            for server in 0..self.day.server_count() {
                 if !listing.entries.iter().any(|entry| entry.server == server) {
                     let (status, at) = (Status::Terminated, self.now);
-                    self.ledger.told.push(Told { node, server, status, at });
+                    self.ledger.notifications.push(Notification { node, server, status, at });
                 }
             }
         }
@@ -507,7 +514,7 @@
                     return;
                 };
                 self.ends(job, Outcome::Cancelled);
-                self.fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
+                self.fleet(|fleet, now, out| fleet.attempt_abandoned(now, server, job, out));
             }
             Action::Refuse { id, retry_after } => self.answer(node, id, 503, retry_after, false),
             Action::Fail { id } => self.answer(node, id, 502, 0, false),
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -8,7 +8,7 @@
         let own = &mut self.nodes[node];
         let Some(open) = own.open.get_mut(&request) else { return };
         let Some((tried, _)) = self.tries.get(&open.id) else { return };
-        let expires = tried.written.unwrap_or(0) + tried.is.budget - MARGIN;
+        let expires = tried.written_at.unwrap_or(0) + tried.client_try.budget - MARGIN;
         let fresh = own.idle[server] == 0;
         own.idle[server] = own.idle[server].saturating_sub(1);
         self.next += 1;
@@ -40,29 +40,34 @@
     pub(super) fn arrives(&mut self, job: u64) {
         let Some(attempt) = self.attempts.get_mut(&job).filter(|attempt| attempt.open) else { return };
         let (server, node, fresh) = (attempt.server, attempt.node, attempt.fresh);
-        let life = self.fleet.servers()[server].life();
-        if fresh && (life == Life::Down || !self.fleet.open(server)) {
+        let life = self.fleet.servers()[server].state();
+        if fresh && (life == ServerState::Down || !self.fleet.open_connection(server)) {
             return self.at(self.now + SERVER_WAY, Due::Ends(job, UNREACHED));
         }
-        if fresh && life == Life::Vanished {
+        if fresh && life == ServerState::Vanished {
             return self.at(self.now + CONNECT, Due::Ends(job, UNREACHED));
         }
-        attempt.line = Some(self.ledger.runs.len());
+        attempt.line = Some(self.ledger.attempts.len());
         let id = attempt.id;
-        let run = Run { id, node, server, arrived: self.now, ended: None, reply: None, ran: false };
-        self.ledger.runs.push(run);
+        let run =
+            AttemptRecord { id, node, server, arrived: self.now, ended: None, reply: None, executed: false };
+        self.ledger.attempts.push(run);
         let Some(wish) = self.wish(id) else { return };
         let told =
-            self.nodes[node].since.get(&server).is_some_and(|&since| since >= self.fleet.since(server));
+            self.nodes[node].since.get(&server).is_some_and(|&since| since >= self.fleet.started_at(server));
         let (class, work, expires) = (wish.0, wish.1, wish.2);
-        let arrival = Arrival { job, class, work, expires, fresh, told };
-        self.fleet(|fleet, now, out| fleet.request(now, server, arrival, out));
+        let arrival = Arrival { job, class, work, expires, new_connection: fresh, notified_of_start: told };
+        self.fleet(|fleet, now, out| fleet.receive_request(now, server, arrival, out));
     }
 
     /// Class, work and end of a try that still runs.
     fn wish(&self, id: u64) -> Option<(usize, Nanos, Nanos)> {
         let (tried, _) = self.tries.get(&id)?;
-        Some((tried.is.wish.class, tried.is.wish.work, tried.is.planned + tried.is.budget))
+        Some((
+            tried.client_try.plan.class,
+            tried.client_try.plan.work,
+            tried.client_try.scheduled_at + tried.client_try.budget,
+        ))
     }
 
     pub(super) fn ends(&mut self, job: u64, status: Outcome) {
@@ -79,7 +84,7 @@
         if matches!(status, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             own.idle[server] += 1;
         } else if arrived {
-            self.fleet.closed(server);
+            self.fleet.connection_closed(server);
         }
         if status == Outcome::Ok {
             self.answer(node, request, 200, 0, true);
--- a/crates/lab/src/trial/processes.rs
+++ b/crates/lab/src/trial/processes.rs
@@ -14,7 +14,7 @@
 use merlinfold_fault_injection::Trial;
 use merlinfold_fleet::Snapshot;
 use merlinfold_simulation::experiment::Experiment;
-use merlinfold_simulation::ledger::{Law as LedgerLaw, Ledger, Life};
+use merlinfold_simulation::ledger::{Invariant as LedgerLaw, Ledger, ProcessEvent};
 use merlinfold_simulation::seed::{mix, Seed};
 use merlinfold_simulation::{millis, Nanos};
 use rustix::process::Signal;
@@ -75,7 +75,7 @@
     paused: Vec<bool>,
     starts: u64,
     store: bool, // nodes run on the lab's store
-    lives: Vec<(Nanos, usize, Life)>,
+    lives: Vec<(Nanos, usize, ProcessEvent)>,
     fates: Fates,
     truth: Truth,
     laws: Vec<Box<dyn Law>>,
@@ -142,7 +142,7 @@
     }
     (day.load.of_capacity, day.load.swing) = (0.1, 0.0);
     day.rules.served = 0.0;
-    day.check().map_err(|fault| fault.to_string())?;
+    day.validate().map_err(|fault| fault.to_string())?;
     Ok(day)
 }
 
@@ -283,14 +283,14 @@
             Do::Kill(node) => {
                 if let Some(process) = self.end(*node) {
                     process.signal(true);
-                    self.lives.push((now, *node, Life::Stopped { killed: true }));
+                    self.lives.push((now, *node, ProcessEvent::Stopped { killed: true }));
                     self.load.node(*node, Some(now + millis(self.day.nodes.notice_ms)));
                 }
             }
             Do::Stop(node) => {
                 if let Some(mut process) = self.end(*node) {
                     process.signal(false);
-                    self.lives.push((now, *node, Life::Stopped { killed: false }));
+                    self.lives.push((now, *node, ProcessEvent::Stopped { killed: false }));
                     self.load.node(*node, Some(now + millis(self.day.nodes.notice_ms)));
                     self.tasks.spawn(async move {
                         let _ = process.wait(END).await; // its drop kills what is left by then
@@ -504,7 +504,7 @@
     }
 
     async fn finish(mut self) -> Result<Report, String> {
-        sleep(Duration::from_nanos(self.day.longest())).await; // the last answers
+        sleep(Duration::from_nanos(self.day.max_deadline())).await; // the last answers
         let mut crashed = Vec::new();
         let agreed = match self.proposals.take() {
             Some(proposals) => {
@@ -535,26 +535,26 @@
         }
         let (of_servers, of_clients) = (self.servers.seen(), self.load.seen());
         let ledger = Ledger {
-            wishes: of_clients.wishes,
+            plans: of_clients.wishes,
             tries: of_clients.tries,
-            runs: of_servers.runs,
-            told: of_servers.told,
+            attempts: of_servers.runs,
+            notifications: of_servers.told,
             peers: of_clients.peers,
-            nodes: std::mem::take(&mut self.lives),
-            falls: of_servers.falls,
+            process_events: std::mem::take(&mut self.lives),
+            overload_crashes: of_servers.falls,
             marks: Vec::new(),
         };
-        let mut of_requests = merlinfold_simulation::report::report(&self.day, &ledger);
-        let broken = of_requests.judge(&self.day, &ledger);
+        let mut of_requests = merlinfold_simulation::report::build_report(&self.day, &ledger);
+        let broken = of_requests.add_violations(&self.day, &ledger);
         let judged = Report::new(&self.report.name, self.trial, "processes", self.found);
         let mut report = self.report;
         (report.breaches, report.figures) = (judged.breaches, judged.figures);
         for breach in broken {
-            if let Some((_, law)) = OF_REQUESTS.into_iter().find(|(law, _)| *law == breach.law) {
+            if let Some((_, law)) = OF_REQUESTS.into_iter().find(|(law, _)| *law == breach.invariant) {
                 report.breaches.push(merlinfold_fault_injection::laws::Breach {
                     law,
                     at: seconds(now),
-                    what: breach.what,
+                    what: breach.description,
                 });
             }
         }
--- a/crates/lab/tests/defects.rs
+++ b/crates/lab/tests/defects.rs
@@ -3,15 +3,15 @@
 use merlinfold_lab::experiments;
 use merlinfold_lab::play::{play, Plan};
 use merlinfold_lab::process::NodeCommand;
-use merlinfold_simulation::experiment::{Experiment, Trouble, TroubleKind};
-use merlinfold_simulation::ledger::Law;
+use merlinfold_simulation::experiment::{Disruption, DisruptionKind, Experiment};
+use merlinfold_simulation::ledger::Invariant;
 
 /// A short day of one double; the laws that were broken.
-fn broken(defect: &str, change: impl FnOnce(&mut Experiment)) -> Vec<Law> {
+fn broken(defect: &str, change: impl FnOnce(&mut Experiment)) -> Vec<Invariant> {
     let mut day = experiments::find("demo").unwrap();
     day.seconds = 4.0;
     day.load.of_capacity = 0.25;
-    day.troubles.clear();
+    day.disruptions.clear();
     // These runs share the machine with other tests: they are about laws, not about time.
     day.rules.lateness_ms = 1e6;
     day.rules.grace_ms = 250.0;
@@ -23,32 +23,32 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let plan = Plan { name: defect.to_owned(), day, nodes, logs: None };
     let played = runtime.block_on(play(plan, |_| ())).unwrap();
-    let mut laws: Vec<Law> = played.breaches.iter().map(|breach| breach.law).collect();
+    let mut laws: Vec<Invariant> = played.breaches.iter().map(|breach| breach.invariant).collect();
     laws.dedup();
     println!("{defect}: {:?}", played.breaches.iter().take(6).collect::<Vec<_>>());
     laws
 }
 
-fn trouble(kind: TroubleKind, part: f64, size: f64) -> Trouble {
-    Trouble { kind, at_s: 0.5, for_s: 3.0, part, size: Some(size), class: None }
+fn trouble(kind: DisruptionKind, part: f64, size: f64) -> Disruption {
+    Disruption { kind, at_s: 0.5, for_s: 3.0, part, size: Some(size), class: None }
 }
 
 fn resets(day: &mut Experiment) {
-    day.troubles.push(trouble(TroubleKind::ResetAnswers, 1.0, 0.2));
+    day.disruptions.push(trouble(DisruptionKind::ResetAnswers, 1.0, 0.2));
 }
 
 fn drains(day: &mut Experiment) {
-    day.troubles.push(trouble(TroubleKind::DeployRoll, 0.5, 0.2));
+    day.disruptions.push(trouble(DisruptionKind::DeployRoll, 0.5, 0.2));
     day.discovery.late_ms = 20.0;
 }
 
 fn silent(day: &mut Experiment) {
-    day.troubles.push(trouble(TroubleKind::SilentPeers, 1.0, 20.0));
+    day.disruptions.push(trouble(DisruptionKind::SilentPeers, 1.0, 20.0));
     day.rules.bad_peer_ms = 2_500.0;
 }
 
 fn cold(day: &mut Experiment) {
-    day.troubles.push(Trouble { at_s: 0.2, for_s: 0.5, ..trouble(TroubleKind::Crash, 0.1, 1.0) });
+    day.disruptions.push(Disruption { at_s: 0.2, for_s: 0.5, ..trouble(DisruptionKind::Crash, 0.1, 1.0) });
     (day.discovery.late_ms, day.discovery.silent_late_ms) = (20.0, 20.0);
     for kind in &mut day.fleet.kinds {
         (kind.build.queue, kind.build.fall_ms, kind.build.ramp_s) = (200, 500.0, 30.0);
@@ -60,7 +60,7 @@
         #[test]
         fn $test() {
             let laws = broken($defect, $change);
-            assert!(laws.contains(&Law::$law), "{laws:?}");
+            assert!(laws.contains(&Invariant::$law), "{laws:?}");
         }
     )*};
 }
--- a/crates/lab/tests/list_faults.rs
+++ b/crates/lab/tests/list_faults.rs
@@ -7,8 +7,8 @@
 use merlinfold_lab::experiments;
 use merlinfold_lab::play::{play, Plan};
 use merlinfold_lab::process::NodeCommand;
-use merlinfold_simulation::experiment::{Trouble, TroubleKind};
-use merlinfold_simulation::ledger::Breach;
+use merlinfold_simulation::experiment::{Disruption, DisruptionKind};
+use merlinfold_simulation::ledger::Violation;
 
 const SEEDS: Range<u64> = 1..3;
 const NODES: usize = 24;
@@ -26,17 +26,17 @@
 }
 
 /// In the middle of the day.
-fn trouble(kind: TroubleKind, size: f64) -> Trouble {
-    Trouble { kind, at_s: 8.0, for_s: 20.0, part: 1.0, size: Some(size), class: None }
+fn trouble(kind: DisruptionKind, size: f64) -> Disruption {
+    Disruption { kind, at_s: 8.0, for_s: 20.0, part: 1.0, size: Some(size), class: None }
 }
 
-fn breaches(seed: u64) -> Vec<Breach> {
+fn breaches(seed: u64) -> Vec<Violation> {
     let mut day = experiments::find("list-faults").unwrap();
     day.nodes.count = nodes();
     day.seed = seed;
     if seed.is_multiple_of(CROWDED_EVERY) {
-        day.troubles.push(trouble(TroubleKind::Surge, 2.0));
-        day.troubles.push(trouble(TroubleKind::SilentPeers, 10.0));
+        day.disruptions.push(trouble(DisruptionKind::Surge, 2.0));
+        day.disruptions.push(trouble(DisruptionKind::SilentPeers, 10.0));
     }
     let program =
         std::env::var("SOAK_PROGRAM").unwrap_or_else(|_| env!("CARGO_BIN_EXE_merlinfold-lab").to_owned());
@@ -57,7 +57,7 @@
 /// every other law holds, while calls to discovery go wrong, nodes are killed, told to end one after another and held up.
 #[test]
 fn no_drain_is_missed_while_calls_to_discovery_go_wrong() {
-    let broken: Vec<(u64, Breach)> =
+    let broken: Vec<(u64, Violation)> =
         seeds().flat_map(|seed| breaches(seed).into_iter().map(move |breach| (seed, breach))).collect();
     assert!(broken.is_empty(), "{broken:#?}");
 }
--- a/crates/lab/tests/virtual_time.rs
+++ b/crates/lab/tests/virtual_time.rs
@@ -2,7 +2,7 @@
 
 use merlinfold_lab::{experiments, sim};
 use merlinfold_simulation::experiment::Experiment;
-use merlinfold_simulation::ledger::Law;
+use merlinfold_simulation::ledger::Invariant;
 
 /// Guards every search by seed: a day in virtual time is the same each time.
 #[test]
@@ -23,10 +23,10 @@
         for seed in 1..=3 {
             let mut day = experiments::find(name).unwrap();
             (day.seconds, day.seed) = (10.0, seed);
-            day.troubles.retain(|trouble| trouble.at_s < 9.0);
+            day.disruptions.retain(|trouble| trouble.at_s < 9.0);
             let (report, breaches) = sim::play(name, &day).unwrap();
-            let broken: Vec<Law> = breaches.iter().map(|breach| breach.law).collect();
-            assert_eq!(broken, [], "{name}, seed {seed}: {:?}", report.breaches);
+            let broken: Vec<Invariant> = breaches.iter().map(|breach| breach.invariant).collect();
+            assert_eq!(broken, [], "{name}, seed {seed}: {:?}", report.violations);
         }
     }
 }
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, LogNormal};
 
-use crate::experiment::{Effect, Experiment, Shape, TroubleKind};
+use crate::experiment::{DisruptionKind, Experiment, RetrySafety, Shape};
 use crate::seed::{mix, Seed, Stream};
 use crate::{millis, Nanos, SECOND};
 
@@ -20,7 +20,7 @@
 
 /// What a client wants, drawn ahead.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wish {
+pub struct RequestPlan {
     /// When it is first asked for.
     pub at: Nanos,
     /// Its class.
@@ -34,17 +34,17 @@
     /// The client's zone.
     pub zone: usize,
     /// The client heeds `Retry-After`.
-    pub heeds: bool,
+    pub honours_retry_after: bool,
     /// It leaves its first try after this share of its time.
-    pub leaves: Option<f64>,
+    pub abandon_share: Option<f64>,
 }
 
 /// All that is asked for in a day: the same for the same seed.
-pub fn draw(day: &Experiment, seed: Seed) -> Vec<Wish> {
+pub fn generate_requests(day: &Experiment, seed: Seed) -> Vec<RequestPlan> {
     let mut when = seed.stream("arrivals", 0);
     let mut what = seed.stream("wishes", 0);
     let mut level = Level::new(day, seed);
-    let (end, mean) = (day.length(), day.per_second() / SECOND as f64);
+    let (end, mean) = (day.duration(), day.mean_requests_per_second() / SECOND as f64);
     let peak = level.most();
     let class = Shares::new(day.classes.iter().map(|class| class.share));
     let tenant = Shares::new(day.tenants.iter().map(|tenant| tenant.share));
@@ -70,15 +70,15 @@
         }
         let number = class.pick(&mut what);
         let drawn = work[number].map_or(day.classes[number].work_ms, |work| work.sample(&mut what));
-        wishes.push(Wish {
+        wishes.push(RequestPlan {
             at: at as Nanos,
             class: number,
             tenant: tenant.pick(&mut what),
             key: what.random_range(0..KEYS),
             work: millis(drawn).max(1),
             zone: what.random_range(0..day.fleet.zones.len()),
-            heeds: what.random::<f64>() < day.clients.honour,
-            leaves: {
+            honours_retry_after: what.random::<f64>() < day.clients.honour,
+            abandon_share: {
                 let (chance, share): (f64, f64) = (what.random(), what.random());
                 (chance < day.clients.impatient).then_some(share)
             },
@@ -119,7 +119,7 @@
 impl Level {
     fn new(day: &Experiment, seed: Seed) -> Self {
         let surges =
-            day.troubles.iter().filter(|trouble| trouble.kind == TroubleKind::Surge).map(|trouble| {
+            day.disruptions.iter().filter(|trouble| trouble.kind == DisruptionKind::Surge).map(|trouble| {
                 let from = millis(trouble.at_s * 1e3);
                 (from, from + millis(trouble.for_s * 1e3), trouble.size.unwrap_or(1.0))
             });
@@ -168,18 +168,18 @@
     /// Tries of it before.
     pub number: u32,
     /// When it should have begun.
-    pub planned: Nanos,
+    pub scheduled_at: Nanos,
     /// How long the client waits for it.
     pub budget: Nanos,
     /// What is wanted.
-    pub wish: Wish,
+    pub plan: RequestPlan,
     /// It leaves so long after it has asked.
-    pub leaves_after: Option<Nanos>,
+    pub abandon_after: Option<Nanos>,
 }
 
 /// How a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum TryOutcome {
     /// An answer.
     Answered {
         /// Its status.
@@ -199,27 +199,27 @@
     Left,
 }
 
-impl End {
+impl TryOutcome {
     /// Turned away, and trying again is harmless.
     pub fn refused(self) -> bool {
-        matches!(self, End::Answered { status: 429 | 503, .. })
+        matches!(self, TryOutcome::Answered { status: 429 | 503, .. })
     }
 
     /// Served.
     pub fn served(self) -> bool {
-        matches!(self, End::Answered { status: 200, .. })
+        matches!(self, TryOutcome::Answered { status: 200, .. })
     }
 }
 
 /// All clients of a day: a state machine that starts tries and hears how they end.
 #[derive(Debug)]
 pub struct Clients {
-    wishes: Vec<Wish>,
+    wishes: Vec<RequestPlan>,
     next: usize,
     later: BinaryHeap<Reverse<(Nanos, usize, u32)>>, // further tries
     open: BTreeMap<u64, Try>,
     settings: crate::experiment::Clients,
-    classes: Vec<(Nanos, Effect)>, // deadline and effect
+    classes: Vec<(Nanos, RetrySafety)>, // deadline and effect
     retry_after_most: Nanos,
     salt: u64,
 }
@@ -229,7 +229,7 @@
     pub fn new(day: &Experiment, seed: Seed) -> Self {
         let class = |class: &crate::experiment::Class| (millis(class.deadline_ms), class.effect);
         Clients {
-            wishes: draw(day, seed),
+            wishes: generate_requests(day, seed),
             next: 0,
             later: BinaryHeap::new(),
             open: BTreeMap::new(),
@@ -241,7 +241,7 @@
     }
 
     /// All that is asked for.
-    pub fn wishes(&self) -> &[Wish] {
+    pub fn plans(&self) -> &[RequestPlan] {
         &self.wishes
     }
 
@@ -258,7 +258,7 @@
     }
 
     /// The next try that is due.
-    pub fn start(&mut self, now: Nanos) -> Option<Try> {
+    pub fn start_try(&mut self, now: Nanos) -> Option<Try> {
         let due = self.next_due().filter(|&due| due <= now)?;
         let (request, number) = match self.wishes.get(self.next).filter(|wish| wish.at == due) {
             Some(_) => {
@@ -272,26 +272,28 @@
         let left = (wish.at + deadline).saturating_sub(due);
         let budget = ((deadline as f64 * self.settings.try_share) as Nanos).min(left);
         let id = mix(self.salt ^ (request as u64 * TRIES_MOST + u64::from(number)));
-        let leaves_after = wish.leaves.filter(|_| number == 0).map(|share| (share * budget as f64) as Nanos);
-        let started = Try { id, request, number, planned: due, budget, wish, leaves_after };
+        let leaves_after =
+            wish.abandon_share.filter(|_| number == 0).map(|share| (share * budget as f64) as Nanos);
+        let started =
+            Try { id, request, number, scheduled_at: due, budget, plan: wish, abandon_after: leaves_after };
         self.open.insert(id, started);
         Some(started)
     }
 
     /// A try has ended. What a client may safely repeat it repeats, while it has tries and time left.
-    pub fn ended(&mut self, now: Nanos, id: u64, end: End) {
-        let Some(Try { request, number, wish, .. }) = self.open.remove(&id) else { return };
+    pub fn try_ended(&mut self, now: Nanos, id: u64, end: TryOutcome) {
+        let Some(Try { request, number, plan: wish, .. }) = self.open.remove(&id) else { return };
         let (deadline, effect) = self.classes[wish.class];
         let repeats = match end {
-            End::Left => false,
-            End::Answered { status: 200, .. } => false,
-            End::Unreachable => true,
+            TryOutcome::Left => false,
+            TryOutcome::Answered { status: 200, .. } => false,
+            TryOutcome::Unreachable => true,
             _ if end.refused() => true,
-            _ => effect == Effect::Safe,
+            _ => effect == RetrySafety::Safe,
         };
         let mut at = now + millis(self.settings.backoff_ms);
-        if let End::Answered { retry_after, .. } = end {
-            if wish.heeds {
+        if let TryOutcome::Answered { retry_after, .. } = end {
+            if wish.honours_retry_after {
                 at = at.max(now + retry_after.min(self.retry_after_most));
             }
         }
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -10,7 +10,7 @@
 /// How good it is.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Spec {
+pub struct DiscoverySpec {
     /// Time after which a change shows in the list, in milliseconds.
     pub late_ms: f64,
     /// The same for a server that died without a word.
@@ -21,9 +21,9 @@
     pub timeout_ms: f64,
 }
 
-impl Default for Spec {
+impl Default for DiscoverySpec {
     fn default() -> Self {
-        Spec { late_ms: 500.0, silent_late_ms: 3_000.0, call_ms: 2.0, timeout_ms: 2_000.0 }
+        DiscoverySpec { late_ms: 500.0, silent_late_ms: 3_000.0, call_ms: 2.0, timeout_ms: 2_000.0 }
     }
 }
 
@@ -63,7 +63,7 @@
 
 /// What becomes of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct CallOutcome {
     /// The call.
     pub call: u64,
     /// What it is told; none: it failed.
@@ -79,7 +79,7 @@
 /// The one service for all nodes.
 #[derive(Debug)]
 pub struct Discovery {
-    spec: Spec,
+    spec: DiscoverySpec,
     index: u64,
     entries: BTreeMap<usize, Entry>,
     coming: BinaryHeap<Reverse<(Nanos, u64, usize)>>, // changes that do not show yet
@@ -94,7 +94,7 @@
 
 impl Discovery {
     /// A list of these servers, all in service since before the day.
-    pub fn new(spec: Spec, servers: impl IntoIterator<Item = usize>) -> Self {
+    pub fn new(spec: DiscoverySpec, servers: impl IntoIterator<Item = usize>) -> Self {
         let entry = |server| (server, Entry { server, status: Status::InService, since: 0, changed: 1 });
         Discovery {
             spec,
@@ -112,12 +112,12 @@
     }
 
     /// When the list began to show each change: time, server and what it shows.
-    pub fn shown(&self) -> &[(Nanos, usize, Status)] {
+    pub fn published_changes(&self) -> &[(Nanos, usize, Status)] {
         &self.shown
     }
 
     /// A server has changed; the list shows it later.
-    pub fn truth(&mut self, now: Nanos, server: usize, status: Status, since: Nanos, silent: bool) {
+    pub fn record_change(&mut self, now: Nanos, server: usize, status: Status, since: Nanos, silent: bool) {
         let late = if silent { self.spec.silent_late_ms } else { self.spec.late_ms };
         self.next += 1;
         self.news.insert(self.next, Entry { server, status, since, changed: 0 });
@@ -126,7 +126,7 @@
 
     /// Whether it is out of service. While it is, every call fails; watches end. Back in service it has
     /// started anew: it counts its versions from 1 and knows no changes, only the list.
-    pub fn set_down(&mut self, now: Nanos, down: bool, out: &mut Vec<Answer>) {
+    pub fn set_down(&mut self, now: Nanos, down: bool, out: &mut Vec<CallOutcome>) {
         self.advance(now, out);
         if self.down && !down {
             self.index = 1;
@@ -136,21 +136,21 @@
         if down {
             let queued = std::mem::take(&mut self.queue).into_iter().map(|(call, ..)| call);
             let watches = std::mem::take(&mut self.watches).into_keys();
-            out.extend(queued.chain(watches).map(|call| Answer { call, listing: None }));
+            out.extend(queued.chain(watches).map(|call| CallOutcome { call, listing: None }));
         }
     }
 
     /// The whole list as it stands, for a node that starts.
-    pub fn whole(&self) -> Listing {
+    pub fn full_list(&self) -> Listing {
         let there = self.entries.values().filter(|entry| entry.status != Status::Terminated);
         Listing { index: self.index, snapshot: true, entries: there.copied().collect() }
     }
 
     /// A call: the whole list at once, or a watch for what is newer than a version, waiting so long.
-    pub fn call(&mut self, now: Nanos, call: u64, watch: Option<(u64, Nanos)>, out: &mut Vec<Answer>) {
+    pub fn call(&mut self, now: Nanos, call: u64, watch: Option<(u64, Nanos)>, out: &mut Vec<CallOutcome>) {
         self.advance(now, out);
         match watch {
-            _ if self.down => out.push(Answer { call, listing: None }),
+            _ if self.down => out.push(CallOutcome { call, listing: None }),
             Some((after, wait)) if after == self.index => {
                 self.watches.insert(call, Watch { after, until: now + wait });
             }
@@ -161,7 +161,7 @@
     }
 
     /// Whoever called has gone.
-    pub fn left(&mut self, call: u64) {
+    pub fn cancel_call(&mut self, call: u64) {
         self.watches.remove(&call);
         self.queue.retain(|&(other, ..)| other != call);
     }
@@ -175,7 +175,7 @@
     }
 
     /// Lets time pass; calls that are answered are appended.
-    pub fn advance(&mut self, now: Nanos, out: &mut Vec<Answer>) {
+    pub fn advance(&mut self, now: Nanos, out: &mut Vec<CallOutcome>) {
         while let Some(due) = self.next_due().filter(|&due| due <= now) {
             self.show(due);
             let ended: Vec<u64> =
@@ -193,7 +193,7 @@
                     if in_time {
                         self.busy_until = due + millis(self.spec.call_ms);
                     }
-                    out.push(Answer { call, listing: in_time.then(|| self.listing(after)) });
+                    out.push(CallOutcome { call, listing: in_time.then(|| self.listing(after)) });
                 }
             }
         }
@@ -223,7 +223,7 @@
 
     fn listing(&self, after: Option<u64>) -> Listing {
         match after.filter(|&after| after <= self.index) {
-            None => self.whole(),
+            None => self.full_list(),
             Some(after) => {
                 let newer = self.entries.values().filter(|entry| entry.changed > after);
                 Listing { index: self.index, snapshot: false, entries: newer.copied().collect() }
@@ -246,13 +246,13 @@
             steps in prop::collection::vec((0usize..4, 0u8..3, 1u64..900, any::<bool>()), 1..40),
             call_ms in 0.0f64..40.0,
         ) {
-            let spec = Spec { call_ms, timeout_ms: 60_000.0, ..Spec::default() };
+            let spec = DiscoverySpec { call_ms, timeout_ms: 60_000.0, ..DiscoverySpec::default() };
             let mut discovery = Discovery::new(spec, 0..4);
             let (mut now, mut out, mut call) = (0, Vec::new(), 0);
             let (mut held, mut index) = (BTreeMap::new(), 0);
             discovery.call(now, call, None, &mut out);
             let mut truth = [Status::InService; 4];
-            let mut take = |discovery: &mut Discovery, now, out: &mut Vec<Answer>| {
+            let mut take = |discovery: &mut Discovery, now, out: &mut Vec<CallOutcome>| {
                 while let Some(answer) = out.pop() {
                     assert_eq!(answer.call, call, "an answer to a call that was answered already");
                     let listing = answer.listing.expect("nothing fails here");
@@ -271,7 +271,7 @@
                 // A server's changes show in the order in which they came: each is as late as the next.
                 let _ = silent;
                 truth[server] = status;
-                discovery.truth(now, server, status, now, false);
+                discovery.record_change(now, server, status, now, false);
                 now += wait * MS;
                 discovery.advance(now, &mut out);
                 take(&mut discovery, now, &mut out);
--- a/crates/simulation/src/trouble.rs
+++ b/crates/simulation/src/disruptions.rs
@@ -3,10 +3,10 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-use crate::experiment::{Experiment, Trouble, TroubleKind};
+use crate::experiment::{Disruption, DisruptionKind, Experiment};
+use crate::notifications::Outage;
 use crate::seed::Seed;
-use crate::server::Faults;
-use crate::told::Outage;
+use crate::server::ServerFaults;
 use crate::{millis, Nanos, MS, SECOND};
 
 /// Time for which a drained server goes on before it stops.
@@ -18,7 +18,7 @@
 
 /// One change of the world.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum ScheduledEvent {
     /// A server's process ends; `silent`: nobody tells discovery.
     Stop {
         /// The server.
@@ -37,9 +37,9 @@
         /// The server.
         server: usize,
         /// Number of the trouble, by which its end finds it.
-        trouble: usize,
+        disruption: usize,
         /// What goes wrong; none: no more.
-        faults: Option<Faults>,
+        faults: Option<ServerFaults>,
     },
     /// A node gets SIGTERM and is started anew once it has ended.
     NodeRoll(usize),
@@ -63,9 +63,9 @@
 }
 
 /// All changes of a day, in order.
-pub fn timeline(day: &Experiment, seed: Seed) -> Vec<(Nanos, Change)> {
+pub fn timeline(day: &Experiment, seed: Seed) -> Vec<(Nanos, ScheduledEvent)> {
     let mut all = Vec::new();
-    for (number, trouble) in day.troubles.iter().enumerate() {
+    for (number, trouble) in day.disruptions.iter().enumerate() {
         lay_out(day, seed, number, trouble, &mut all);
     }
     all.sort_by_key(|&(at, _)| at); // stable: what was laid out first comes first
@@ -77,8 +77,8 @@
     let mut all: Vec<Outage> = Vec::new();
     for (at, change) in timeline(day, seed) {
         match change {
-            Change::Discovery { down: true } => all.push(Outage { from: at, until: None }),
-            Change::Discovery { down: false } => {
+            ScheduledEvent::Discovery { down: true } => all.push(Outage { from: at, until: None }),
+            ScheduledEvent::Discovery { down: false } => {
                 if let Some(outage) = all.last_mut() {
                     outage.until.get_or_insert(at);
                 }
@@ -89,102 +89,106 @@
     all
 }
 
-fn lay_out(day: &Experiment, seed: Seed, number: usize, trouble: &Trouble, all: &mut Vec<(Nanos, Change)>) {
+fn lay_out(
+    day: &Experiment, seed: Seed, number: usize, trouble: &Disruption, all: &mut Vec<(Nanos, ScheduledEvent)>,
+) {
     let (from, length) = (millis(trouble.at_s * 1e3), millis(trouble.for_s * 1e3));
     let until = from + length;
-    let of_nodes =
-        matches!(trouble.kind, TroubleKind::NodeRoll | TroubleKind::NodeKill | TroubleKind::NodePause);
-    let count = if of_nodes { day.nodes.count } else { day.servers() };
+    let of_nodes = matches!(
+        trouble.kind,
+        DisruptionKind::NodeRoll | DisruptionKind::NodeKill | DisruptionKind::NodePause
+    );
+    let count = if of_nodes { day.nodes.count } else { day.server_count() };
     let mut hit: Vec<usize> = (0..count).collect();
     hit.shuffle(&mut seed.stream("trouble", number as u64));
     hit.truncate(((trouble.part * count as f64).round() as usize).min(count));
     let size = trouble.size.unwrap_or(BATCH);
-    let mut at = |time: Nanos, change: Change| all.push((time, change));
+    let mut at = |time: Nanos, change: ScheduledEvent| all.push((time, change));
     let name = format!("{:?}", trouble.kind);
-    at(from, Change::Mark(format!("{name} begins")));
-    at(until, Change::Mark(format!("{name} ends")));
-    let fault = |make: &dyn Fn() -> Faults| {
+    at(from, ScheduledEvent::Mark(format!("{name} begins")));
+    at(until, ScheduledEvent::Mark(format!("{name} ends")));
+    let fault = |make: &dyn Fn() -> ServerFaults| {
         let mut changes = Vec::new();
         for &server in &hit {
-            changes.push((from, Change::Fault { server, trouble: number, faults: Some(make()) }));
-            changes.push((until, Change::Fault { server, trouble: number, faults: None }));
+            changes.push((from, ScheduledEvent::Fault { server, disruption: number, faults: Some(make()) }));
+            changes.push((until, ScheduledEvent::Fault { server, disruption: number, faults: None }));
         }
         changes
     };
-    let none = Faults::default;
+    let none = ServerFaults::default;
     match trouble.kind {
-        TroubleKind::Crash => {
+        DisruptionKind::Crash => {
             for &server in &hit {
-                at(from, Change::Stop { server, silent: true });
-                at(until, Change::Start(server));
+                at(from, ScheduledEvent::Stop { server, silent: true });
+                at(until, ScheduledEvent::Start(server));
             }
         }
-        TroubleKind::Vanish => {
+        DisruptionKind::Vanish => {
             for &server in &hit {
-                at(from, Change::Vanish(server));
-                at(until, Change::Start(server));
+                at(from, ScheduledEvent::Vanish(server));
+                at(until, ScheduledEvent::Start(server));
             }
         }
-        TroubleKind::Slow => all.extend(fault(&|| Faults { slow: size, ..none() })),
-        TroubleKind::Hang => all.extend(fault(&|| Faults { hung: true, ..none() })),
-        TroubleKind::TurnAway => {
-            let class = trouble.class.as_deref().and_then(|name| day.class(name)).unwrap_or(0);
-            all.extend(fault(&|| Faults { turn_away: Some((class, millis(size))), ..none() }));
+        DisruptionKind::Slow => all.extend(fault(&|| ServerFaults { slow: size, ..none() })),
+        DisruptionKind::Hang => all.extend(fault(&|| ServerFaults { hung: true, ..none() })),
+        DisruptionKind::TurnAway => {
+            let class = trouble.class.as_deref().and_then(|name| day.class_index(name)).unwrap_or(0);
+            all.extend(fault(&|| ServerFaults { turn_away: Some((class, millis(size))), ..none() }));
         }
-        TroubleKind::LoseAnswers => all.extend(fault(&|| Faults { lose: size, ..none() })),
-        TroubleKind::CutAnswers => all.extend(fault(&|| Faults { cut: size, ..none() })),
-        TroubleKind::ResetAnswers => all.extend(fault(&|| Faults { reset: size, ..none() })),
-        TroubleKind::MalformedAnswers => all.extend(fault(&|| Faults { malformed: size, ..none() })),
-        TroubleKind::DeployRoll => {
+        DisruptionKind::LoseAnswers => all.extend(fault(&|| ServerFaults { lose: size, ..none() })),
+        DisruptionKind::CutAnswers => all.extend(fault(&|| ServerFaults { cut: size, ..none() })),
+        DisruptionKind::ResetAnswers => all.extend(fault(&|| ServerFaults { reset: size, ..none() })),
+        DisruptionKind::MalformedAnswers => all.extend(fault(&|| ServerFaults { malformed: size, ..none() })),
+        DisruptionKind::DeployRoll => {
             let batch = ((size * count as f64).round() as usize).max(1);
             let batches = hit.chunks(batch);
             let step = length / (batches.len().max(1) as u64);
             for (turn, servers) in batches.enumerate() {
                 let begins = from + step * turn as u64;
                 for &server in servers {
-                    at(begins, Change::Drain(server));
-                    at(begins + DRAIN, Change::Stop { server, silent: false });
-                    at(begins + DRAIN + RESTART, Change::Start(server));
+                    at(begins, ScheduledEvent::Drain(server));
+                    at(begins + DRAIN, ScheduledEvent::Stop { server, silent: false });
+                    at(begins + DRAIN + RESTART, ScheduledEvent::Start(server));
                 }
             }
         }
-        TroubleKind::NodeRoll => {
+        DisruptionKind::NodeRoll => {
             let step = length / (hit.len().max(1) as u64);
             for (turn, &node) in hit.iter().enumerate() {
-                at(from + step * turn as u64, Change::NodeRoll(node));
+                at(from + step * turn as u64, ScheduledEvent::NodeRoll(node));
             }
         }
-        TroubleKind::NodeKill => {
+        DisruptionKind::NodeKill => {
             for &node in &hit {
-                at(from, Change::NodeKill(node));
-                at(until, Change::NodeStart(node));
+                at(from, ScheduledEvent::NodeKill(node));
+                at(until, ScheduledEvent::NodeStart(node));
             }
         }
-        TroubleKind::NodePause => {
+        DisruptionKind::NodePause => {
             let mut moments = seed.stream("node-pause", number as u64);
             for &node in &hit {
-                at(from + moments.random_range(0..=length), Change::NodePause(node));
+                at(from + moments.random_range(0..=length), ScheduledEvent::NodePause(node));
             }
         }
-        TroubleKind::DiscoveryOutage => {
-            at(from, Change::Discovery { down: true });
-            at(until, Change::Discovery { down: false });
+        DisruptionKind::DiscoveryOutage => {
+            at(from, ScheduledEvent::Discovery { down: true });
+            at(until, ScheduledEvent::Discovery { down: false });
         }
-        TroubleKind::ListFaults => {
-            at(from, Change::ListFaults(size));
-            at(until, Change::ListFaults(0.0));
+        DisruptionKind::ListFaults => {
+            at(from, ScheduledEvent::ListFaults(size));
+            at(until, ScheduledEvent::ListFaults(0.0));
         }
-        TroubleKind::SilentPeers => {
-            at(from, Change::SilentPeers(size));
-            at(until, Change::SilentPeers(0.0));
+        DisruptionKind::SilentPeers => {
+            at(from, ScheduledEvent::SilentPeers(size));
+            at(until, ScheduledEvent::SilentPeers(0.0));
         }
-        TroubleKind::Surge => {} // the clients' draw knows it
+        DisruptionKind::Surge => {} // the clients' draw knows it
     }
 }
 
 /// All that goes wrong with one server at once.
-pub fn merged<'a>(all: impl Iterator<Item = &'a Faults>) -> Faults {
-    all.fold(Faults::default(), |sum, one| Faults {
+pub fn merge_faults<'a>(all: impl Iterator<Item = &'a ServerFaults>) -> ServerFaults {
+    all.fold(ServerFaults::default(), |sum, one| ServerFaults {
         slow: sum.slow.max(1.0) * one.slow.max(1.0),
         hung: sum.hung || one.hung,
         lose: sum.lose + one.lose,
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -9,7 +9,7 @@
 
 mod check;
 
-pub use check::Fault;
+pub use check::ExperimentError;
 
 /// A whole experiment.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -39,10 +39,10 @@
     pub clients: Clients,
     /// Discovery.
     #[serde(default)]
-    pub discovery: discovery::Spec,
+    pub discovery: discovery::DiscoverySpec,
     /// What goes wrong.
     #[serde(default, rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub disruptions: Vec<Disruption>,
     /// The figures of the rules.
     #[serde(default)]
     pub rules: Rules,
@@ -105,7 +105,7 @@
     pub count: usize,
     /// How it is built.
     #[serde(default)]
-    pub build: server::Spec,
+    pub build: server::ServerSpec,
 }
 
 /// What is asked.
@@ -163,7 +163,7 @@
     #[serde(default = "worth")]
     pub worth: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub effect: RetrySafety,
 }
 
 fn worth() -> f64 {
@@ -173,7 +173,7 @@
 /// What a repeat does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Effect {
+pub enum RetrySafety {
     /// No harm.
     Safe,
     /// Harm: it must never run twice.
@@ -220,7 +220,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum DisruptionKind {
     /// Server processes die and come back cold.
     Crash,
     /// Machines fall silent and come back cold.
@@ -260,9 +260,9 @@
 /// One trouble.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Disruption {
     /// What goes wrong.
-    pub kind: TroubleKind,
+    pub kind: DisruptionKind,
     /// When, in seconds from the start.
     pub at_s: f64,
     /// For how long, in seconds.
@@ -318,17 +318,17 @@
 
 impl Experiment {
     /// The number of the class of this name.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
     /// Number of servers.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.fleet.kinds.iter().map(|kind| kind.count).sum()
     }
 
     /// Kind of each server, by number.
-    pub fn kinds(&self) -> Vec<usize> {
+    pub fn server_kinds(&self) -> Vec<usize> {
         let each = self.fleet.kinds.iter().enumerate();
         each.flat_map(|(number, kind)| std::iter::repeat_n(number, kind.count)).collect()
     }
@@ -344,7 +344,7 @@
     }
 
     /// Requests a second on the mean.
-    pub fn per_second(&self) -> f64 {
+    pub fn mean_requests_per_second(&self) -> f64 {
         let capacity: f64 =
             self.fleet.kinds.iter().map(|k| k.count as f64 * k.build.cores * k.build.speed).sum();
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
@@ -353,12 +353,12 @@
     }
 
     /// Its length.
-    pub fn length(&self) -> Nanos {
+    pub fn duration(&self) -> Nanos {
         (self.seconds * SECOND as f64) as Nanos
     }
 
     /// Longest time that a client waits in all.
-    pub fn longest(&self) -> Nanos {
+    pub fn max_deadline(&self) -> Nanos {
         let longest = self.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
         (longest * MS as f64) as Nanos
     }
--- a/crates/simulation/src/experiment/check.rs
+++ b/crates/simulation/src/experiment/check.rs
@@ -4,20 +4,20 @@
 
 /// A value that cannot be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ExperimentError {
     /// Path of the field.
     pub field: String,
     /// What is wrong with it.
-    pub what: String,
+    pub problem: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for ExperimentError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{}: {}", self.field, self.what)
+        write!(f, "{}: {}", self.field, self.problem)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ExperimentError {}
 
 /// Most servers, nodes and seconds of an experiment: what one machine can hold.
 const SERVERS_MOST: usize = 1_000;
@@ -27,13 +27,14 @@
 
 impl Experiment {
     /// Whether it can be played. The error names the field.
-    pub fn check(&self) -> Result<(), Fault> {
-        let fault = |field: &str, what: &str| Err(Fault { field: field.into(), what: what.into() });
+    pub fn validate(&self) -> Result<(), ExperimentError> {
+        let fault =
+            |field: &str, what: &str| Err(ExperimentError { field: field.into(), problem: what.into() });
         let within = |field: String, value: f64, least: f64, most: f64| {
             if value.is_finite() && (least..=most).contains(&value) {
                 return Ok(());
             }
-            Err(Fault { field, what: format!("{value} is not between {least} and {most}") })
+            Err(ExperimentError { field, problem: format!("{value} is not between {least} and {most}") })
         };
         within("seconds".into(), self.seconds, 0.5, SECONDS_MOST)?;
         within("nodes.count".into(), self.nodes.count as f64, 1.0, NODES_MOST as f64)?;
@@ -46,7 +47,7 @@
         if self.fleet.kinds.is_empty() {
             return fault("fleet.kind", "there is none");
         }
-        within("fleet.kind.count".into(), self.servers() as f64, 1.0, SERVERS_MOST as f64)?;
+        within("fleet.kind.count".into(), self.server_count() as f64, 1.0, SERVERS_MOST as f64)?;
         for kind in &self.fleet.kinds {
             let at = |name: &str| format!("fleet.kind {}: build.{name}", kind.name);
             within(at("cores"), kind.build.cores, 0.01, 1_024.0)?;
@@ -81,12 +82,12 @@
         within("load.of_capacity".into(), self.load.of_capacity, 0.001, 100.0)?;
         within("load.swing".into(), self.load.swing, 0.0, 1.0)?;
         within("load.period_ms".into(), self.load.period_ms, 10.0, 3.6e6)?;
-        within("load (requests a second)".into(), self.per_second(), 0.01, PER_SECOND_MOST)?;
+        within("load (requests a second)".into(), self.mean_requests_per_second(), 0.01, PER_SECOND_MOST)?;
         within("clients.try_share".into(), self.clients.try_share, 0.01, 1.0)?;
         within("clients.retries".into(), f64::from(self.clients.retries), 0.0, 10.0)?;
         within("clients.honour".into(), self.clients.honour, 0.0, 1.0)?;
         within("clients.impatient".into(), self.clients.impatient, 0.0, 1.0)?;
-        for (n, trouble) in self.troubles.iter().enumerate() {
+        for (n, trouble) in self.disruptions.iter().enumerate() {
             let at = |name: &str| format!("trouble {}: {name}", n + 1);
             within(at("at_s"), trouble.at_s, 0.0, self.seconds)?;
             within(at("for_s"), trouble.for_s, 0.0, SECONDS_MOST)?;
@@ -94,7 +95,7 @@
             if let Some(size) = trouble.size {
                 within(at("size"), size, 0.0, 1e6)?;
             }
-            use TroubleKind::*;
+            use DisruptionKind::*;
             let sized = matches!(
                 trouble.kind,
                 Slow | TurnAway
@@ -113,7 +114,7 @@
             if (trouble.kind == TurnAway) != named.is_some() {
                 return fault(&at("class"), "goes with turn-away, and only with it");
             }
-            if named.is_some_and(|name| self.class(name).is_none()) {
+            if named.is_some_and(|name| self.class_index(name).is_none()) {
                 return fault(&at("class"), "no class has this name");
             }
         }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -10,14 +10,21 @@
 //! are the host's.
 //!
 //! ```
-//! use merlinfold_simulation::server::{Arrival, Reply, Server, Spec};
+//! use merlinfold_simulation::server::{Arrival, Reply, Server, ServerSpec};
 //!
 //! const MS: u64 = 1_000_000;
-//! let spec = Spec { cores: 1.0, speed: 2.0, ..Spec::default() };
+//! let spec = ServerSpec { cores: 1.0, speed: 2.0, ..ServerSpec::default() };
 //! let mut server = Server::new(spec, 0, 7);
 //! let mut out = Vec::new();
-//! let job = Arrival { job: 1, class: 0, work: 10 * MS, expires: u64::MAX, fresh: false, told: true };
-//! server.request(0, job, &mut out);
+//! let arrival = Arrival {
+//!     job: 1,
+//!     class: 0,
+//!     work: 10 * MS,
+//!     expires: u64::MAX,
+//!     new_connection: false,
+//!     notified_of_start: true,
+//! };
+//! server.receive_request(0, arrival, &mut out);
 //! let due = server.next_due().unwrap(); // twice as fast as a standard core
 //! assert_eq!(due, 5 * MS);
 //! server.advance(due, &mut out);
@@ -26,16 +33,16 @@
 
 pub mod clients;
 pub mod discovery;
+pub mod disruptions;
 pub mod experiment;
 pub mod fleet;
-pub mod front;
 pub mod ledger;
 pub mod list_faults;
+pub mod node_balancer;
+pub mod notifications;
 pub mod report;
 pub mod seed;
 pub mod server;
-pub mod told;
-pub mod trouble;
 
 /// A point in time since the day's start, or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/simulation/src/list_faults.rs
+++ b/crates/simulation/src/list_faults.rs
@@ -29,16 +29,16 @@
 
 /// Draws the faults of one day.
 #[derive(Debug)]
-pub struct ListFaults {
+pub struct ListFaultSampler {
     stream: Stream,
     share: f64,
     in_a_row: BTreeMap<usize, u32>,
 }
 
-impl ListFaults {
+impl ListFaultSampler {
     /// None until a share is set.
     pub fn new(seed: Seed) -> Self {
-        ListFaults { stream: seed.stream("list-faults", 0), share: 0.0, in_a_row: BTreeMap::new() }
+        ListFaultSampler { stream: seed.stream("list-faults", 0), share: 0.0, in_a_row: BTreeMap::new() }
     }
 
     /// From now on this share of calls meets a fault.
@@ -47,7 +47,7 @@
     }
 
     /// What goes wrong with the call that a node makes now.
-    pub fn draw(&mut self, node: usize) -> Option<ListFault> {
+    pub fn sample(&mut self, node: usize) -> Option<ListFault> {
         let in_a_row = self.in_a_row.entry(node).or_default();
         if *in_a_row >= MAX_IN_A_ROW || !self.stream.random_bool(self.share.clamp(0.0, 1.0)) {
             *in_a_row = 0;
--- a/crates/simulation/src/told.rs
+++ b/crates/simulation/src/notifications.rs
@@ -7,7 +7,7 @@
 
 /// That a node was told of a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct Notification {
     /// The node.
     pub node: usize,
     /// The server.
@@ -29,8 +29,9 @@
 
 /// Adds what counts as told although nobody heard it: what the list showed and a node did not learn within
 /// `latest` of the moment from which discovery had it and could be reached.
-pub fn told_by_default(
-    told: &mut Vec<Told>, shown: &[(Nanos, usize, Status)], nodes: usize, latest: Nanos, outages: &[Outage],
+pub fn add_implied_notifications(
+    told: &mut Vec<Notification>, shown: &[(Nanos, usize, Status)], nodes: usize, latest: Nanos,
+    outages: &[Outage],
 ) {
     let mut heard: BTreeMap<(usize, usize), Vec<Nanos>> = BTreeMap::new();
     for one in told.iter() {
@@ -42,7 +43,7 @@
         for node in 0..nodes {
             let times = heard.get(&(node, server)).map_or(&[][..], Vec::as_slice);
             if !times.iter().any(|time| (at..=counts).contains(time)) {
-                told.push(Told { node, server, status, at: counts });
+                told.push(Notification { node, server, status, at: counts });
             }
         }
     }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -5,9 +5,9 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::clients::End;
+use crate::clients::TryOutcome;
 use crate::experiment::Experiment;
-use crate::ledger::{Breach, Law, Ledger};
+use crate::ledger::{Invariant, Ledger, Violation};
 use crate::{millis, Nanos, MS, SECOND};
 
 /// Version of the report's form; a change that an older reader would misread raises it.
@@ -73,16 +73,17 @@
     /// Troubles: time in seconds, and what.
     pub marks: Vec<(f64, String)>,
     /// Laws broken.
-    pub breaches: Vec<String>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<String>,
     /// The lab's own figures.
-    pub lab: Lab,
+    pub lab: HarnessTiming,
     /// What each node used.
     pub usage: Vec<Usage>,
 }
 
 /// How well the lab itself kept time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Lab {
+pub struct HarnessTiming {
     /// Lateness of its timers and arrivals, 50th and 99th percentile and the most, in milliseconds.
     pub lateness_ms: [f64; 3],
     /// Why the run is void, if it is.
@@ -131,7 +132,7 @@
                 }
             }
             Some(end) if end.refused() => &mut span.refused,
-            Some(End::Answered { .. } | End::Closed) => &mut span.failed,
+            Some(TryOutcome::Answered { .. } | TryOutcome::Closed) => &mut span.failed,
             _ => &mut span.unanswered,
         };
         *count += 1;
@@ -156,7 +157,7 @@
 
 impl Sums {
     fn new(day: &Experiment, width: Nanos) -> Self {
-        let count = day.length().div_ceil(width).max(1);
+        let count = day.duration().div_ceil(width).max(1);
         Sums { width, sums: (0..count).map(|_| Sum::default()).collect() }
     }
 
@@ -180,35 +181,36 @@
 /// How one request ended.
 #[derive(Clone, Copy)]
 struct Fate {
-    end: End,
+    end: TryOutcome,
     at: Nanos,
     tries: u64,
 }
 
 /// The figures of a day. The host fills in what only it knows: `lab`, `usage`, names.
-pub fn report(day: &Experiment, ledger: &Ledger) -> Report {
-    let mut fates: Vec<Option<Fate>> = vec![None; ledger.wishes.len()];
-    let mut attempts = vec![0u64; ledger.wishes.len()];
-    let request_of: BTreeMap<u64, usize> = ledger.tries.iter().map(|t| (t.is.id, t.is.request)).collect();
+pub fn build_report(day: &Experiment, ledger: &Ledger) -> Report {
+    let mut fates: Vec<Option<Fate>> = vec![None; ledger.plans.len()];
+    let mut attempts = vec![0u64; ledger.plans.len()];
+    let request_of: BTreeMap<u64, usize> =
+        ledger.tries.iter().map(|t| (t.client_try.id, t.client_try.request)).collect();
     for tried in &ledger.tries {
-        let fate = &mut fates[tried.is.request];
+        let fate = &mut fates[tried.client_try.request];
         let tries = fate.map_or(0, |fate| fate.tries) + 1;
         let last = fate.is_none_or(|fate| fate.at <= tried.ended && !fate.end.served());
         *fate = match fate {
             Some(old) if !last => Some(Fate { tries, ..*old }),
-            _ => Some(Fate { end: tried.end, at: tried.ended, tries }),
+            _ => Some(Fate { end: tried.outcome, at: tried.ended, tries }),
         };
     }
-    for run in &ledger.runs {
+    for run in &ledger.attempts {
         if let Some(&request) = request_of.get(&run.id) {
             attempts[request] += 1;
         }
     }
     let windows = Sums::new(day, WINDOW);
-    let points = Sums::new(day, (day.length() / POINTS).clamp(SECOND / 2, WINDOW));
+    let points = Sums::new(day, (day.duration() / POINTS).clamp(SECOND / 2, WINDOW));
     let (mut sums, mut whole) = ([windows, points], Sum::default());
     let mut classes: Vec<[f64; 2]> = vec![[0.0; 2]; day.classes.len()];
-    for (request, wish) in ledger.wishes.iter().enumerate() {
+    for (request, wish) in ledger.plans.iter().enumerate() {
         let class = &day.classes[wish.class];
         let fate = fates[request];
         let latency = fate.map_or(0, |fate| fate.at.saturating_sub(wish.at));
@@ -222,8 +224,8 @@
         classes[wish.class][1] += if in_aim { class.worth } else { 0.0 };
     }
     let [windows, points] = sums;
-    let mut load = vec![vec![0; points.sums.len()]; day.servers()];
-    for run in &ledger.runs {
+    let mut load = vec![vec![0; points.sums.len()]; day.server_count()];
+    for run in &ledger.attempts {
         if let Some(server) = load.get_mut(run.server) {
             server[points.index(run.arrived)] += 1;
         }
@@ -243,22 +245,22 @@
         points: points.finish(),
         load,
         marks: ledger.marks.iter().map(|(at, what)| (*at as f64 / SECOND as f64, what.clone())).collect(),
-        breaches: Vec::new(),
-        lab: Lab::default(),
+        violations: Vec::new(),
+        lab: HarnessTiming::default(),
         usage: Vec::new(),
     }
 }
 
 impl Report {
     /// Adds what the laws say, and whether enough was served where the experiment asks for that.
-    pub fn judge(&mut self, day: &Experiment, ledger: &Ledger) -> Vec<Breach> {
-        let mut breaches = crate::ledger::judge(day, ledger);
+    pub fn add_violations(&mut self, day: &Experiment, ledger: &Ledger) -> Vec<Violation> {
+        let mut breaches = crate::ledger::find_violations(day, ledger);
         if self.whole.worth_served < day.rules.served {
             let what =
                 format!("{:.3} of the worth, {:.3} asked for", self.whole.worth_served, day.rules.served);
-            breaches.push(Breach { law: Law::Served, what });
+            breaches.push(Violation { invariant: Invariant::Served, description: what });
         }
-        self.breaches = breaches.iter().map(Breach::to_string).collect();
+        self.violations = breaches.iter().map(Violation::to_string).collect();
         breaches
     }
 
@@ -297,7 +299,7 @@
 }
 
 /// Mean lateness and its void verdict, from what the host measured in microseconds.
-pub fn lab(lateness: &Histogram<u64>, most_ms: f64) -> Lab {
+pub fn harness_timing(lateness: &Histogram<u64>, most_ms: f64) -> HarnessTiming {
     let at = |q: f64| lateness.value_at_quantile(q) as f64 / 1e3;
     let figures = [at(0.5), at(0.99), lateness.max() as f64 / 1e3];
     let void = (figures[1] > most_ms).then(|| {
@@ -306,7 +308,7 @@
             figures[1]
         )
     });
-    Lab { lateness_ms: figures, void }
+    HarnessTiming { lateness_ms: figures, void }
 }
 
 /// A latency in the unit of [`histogram`].
--- a/crates/simulation/src/server.rs
+++ b/crates/simulation/src/server.rs
@@ -19,7 +19,7 @@
 /// What stops when its client gives up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Cancels {
+pub enum CancelScope {
     /// Nothing: work goes on for nobody.
     #[default]
     Nothing,
@@ -32,7 +32,7 @@
 /// What warms a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum WarmBy {
+pub enum WarmUpMode {
     /// Time alone.
     #[default]
     Time,
@@ -43,7 +43,7 @@
 /// How a kind of server is built.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Spec {
+pub struct ServerSpec {
     /// Cores that share the requests in work.
     pub cores: f64,
     /// Speed of a core; 1 is that of a standard core.
@@ -61,7 +61,7 @@
     /// Time after which it is warm at the latest, in seconds.
     pub ramp_s: f64,
     /// What warms it.
-    pub warm_by: WarmBy,
+    pub warm_by: WarmUpMode,
     /// Multiple of its present capacity that makes a cold server fall over ...
     pub fall_multiple: f64,
     /// ... when it is sent within so long, in milliseconds.
@@ -73,16 +73,16 @@
     /// Idle time after which it closes one, in seconds.
     pub idle_s: f64,
     /// What stops when its client gives up.
-    pub cancels: Cancels,
+    pub cancels: CancelScope,
     /// What waits past its time is turned away rather than run.
     pub drops_expired: bool,
     /// Share of requests that end in an error.
     pub errors: f64,
 }
 
-impl Default for Spec {
+impl Default for ServerSpec {
     fn default() -> Self {
-        Spec {
+        ServerSpec {
             cores: 1.0,
             speed: 1.0,
             slots: 1,
@@ -91,13 +91,13 @@
             choke: 0.15,
             cold_share: 0.25,
             ramp_s: 6.0,
-            warm_by: WarmBy::Time,
+            warm_by: WarmUpMode::Time,
             fall_multiple: 4.0,
             fall_ms: 2_000.0,
             connect_ms: 0.5,
             connections: 700,
             idle_s: 30.0,
-            cancels: Cancels::Waiting,
+            cancels: CancelScope::Waiting,
             drops_expired: false,
             errors: 0.0,
         }
@@ -106,7 +106,7 @@
 
 /// Whether it takes part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ServerState {
     /// It does.
     Up,
     /// It finishes what it holds and turns away the rest.
@@ -119,7 +119,7 @@
 
 /// What goes wrong with its answers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Faults {
+pub struct ServerFaults {
     /// Factor by which all takes longer; 0 stands for 1.
     pub slow: f64,
     /// It takes requests and does nothing.
@@ -148,9 +148,9 @@
     /// When nobody waits for it any more.
     pub expires: Nanos,
     /// It is the first on its connection.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// Its node has been told of the server's last start.
-    pub told: bool,
+    pub notified_of_start: bool,
 }
 
 /// What comes back.
@@ -174,13 +174,13 @@
 
 /// That an attempt has come to its end at the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Done {
+pub struct Completion {
     /// The attempt.
     pub job: u64,
     /// What comes back.
     pub reply: Reply,
     /// It ran, at least in part.
-    pub ran: bool,
+    pub executed: bool,
 }
 
 #[derive(Debug)]
@@ -193,9 +193,9 @@
 /// One guide server.
 #[derive(Debug)]
 pub struct Server {
-    spec: Spec,
-    life: Life,
-    faults: Faults,
+    spec: ServerSpec,
+    life: ServerState,
+    faults: ServerFaults,
     rng: Stream,
     at: Nanos, // up to which the work is reckoned
     jobs: BTreeMap<u64, Job>,
@@ -205,28 +205,28 @@
     open: usize,                               // connections
     warm: f64,                                 // share of its full speed
     sent: VecDeque<(Nanos, f64, bool)>,        // work that reached it while it was cold
-    fallen: Option<Fall>,
+    fallen: Option<OverloadCrash>,
     busy: f64, // work done, ns of a standard core
 }
 
 /// How a cold server fell over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fall {
+pub struct OverloadCrash {
     /// When.
     pub at: Nanos,
     /// Share of the work that came from nodes which had been told of its start.
-    pub told: f64,
+    pub notified_share: f64,
     /// Work that reached it within the window, over what it could bear.
     pub load: f64,
 }
 
 impl Server {
     /// A warm server.
-    pub fn new(spec: Spec, number: u64, seed: u64) -> Self {
+    pub fn new(spec: ServerSpec, number: u64, seed: u64) -> Self {
         Server {
             spec,
-            life: Life::Up,
-            faults: Faults::default(),
+            life: ServerState::Up,
+            faults: ServerFaults::default(),
             rng: Seed(seed).stream("server", number),
             at: 0,
             jobs: BTreeMap::new(),
@@ -242,27 +242,27 @@
     }
 
     /// Whether it takes part.
-    pub fn life(&self) -> Life {
+    pub fn state(&self) -> ServerState {
         self.life
     }
 
     /// Share of its full speed.
-    pub fn warmth(&self) -> f64 {
+    pub fn warm_fraction(&self) -> f64 {
         self.warm
     }
 
     /// How it fell over, if it did.
-    pub fn fallen(&self) -> Option<Fall> {
+    pub fn overload_crash(&self) -> Option<OverloadCrash> {
         self.fallen
     }
 
     /// Requests that it holds.
-    pub fn held(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.jobs.len()
     }
 
     /// Work done so far, as nanoseconds of a standard core.
-    pub fn done(&self) -> f64 {
+    pub fn completed_work(&self) -> f64 {
         self.busy
     }
 
@@ -287,24 +287,24 @@
     }
 
     /// Whether a further connection is taken; each one taken ends with [`Server::closed`].
-    pub fn open(&mut self) -> bool {
+    pub fn open_connection(&mut self) -> bool {
         let taken = self.open < self.spec.connections;
         self.open += usize::from(taken);
         taken
     }
 
     /// A connection has ended.
-    pub fn closed(&mut self) {
+    pub fn connection_closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
     /// A request has arrived whole.
-    pub fn request(&mut self, now: Nanos, arrival: Arrival, out: &mut Vec<Done>) {
+    pub fn receive_request(&mut self, now: Nanos, arrival: Arrival, out: &mut Vec<Completion>) {
         self.advance(now, out);
-        let Arrival { job, class, work, expires, fresh, told } = arrival;
-        if matches!(self.life, Life::Down | Life::Vanished) {
-            let reply = if self.life == Life::Down { Reply::Reset } else { Reply::Silence };
-            out.push(Done { job, reply, ran: false });
+        let Arrival { job, class, work, expires, new_connection: fresh, notified_of_start: told } = arrival;
+        if matches!(self.life, ServerState::Down | ServerState::Vanished) {
+            let reply = if self.life == ServerState::Down { Reply::Reset } else { Reply::Silence };
+            out.push(Completion { job, reply, executed: false });
             return;
         }
         let work = work as f64 + if fresh { self.spec.connect_ms * MS as f64 } else { 0.0 };
@@ -313,8 +313,10 @@
         }
         match self.faults.turn_away {
             Some((of, after)) if of == class => self.turned.push(Reverse((now + after, job))),
-            _ if self.life == Life::Draining || self.jobs.len() >= self.spec.slots + self.spec.queue => {
-                out.push(Done { job, reply: Reply::TurnedAway, ran: false });
+            _ if self.life == ServerState::Draining
+                || self.jobs.len() >= self.spec.slots + self.spec.queue =>
+            {
+                out.push(Completion { job, reply: Reply::TurnedAway, executed: false });
             }
             _ => {
                 self.jobs.insert(job, Job { left: work.max(1.0), expires, ran: false });
@@ -325,18 +327,18 @@
     }
 
     /// Whoever sent this attempt no longer waits for it.
-    pub fn abandoned(&mut self, now: Nanos, job: u64, out: &mut Vec<Done>) {
+    pub fn attempt_abandoned(&mut self, now: Nanos, job: u64, out: &mut Vec<Completion>) {
         self.advance(now, out);
         let Some(held) = self.jobs.get(&job) else { return };
         let stops = match self.spec.cancels {
-            Cancels::Nothing => false,
-            Cancels::Waiting => !held.ran,
-            Cancels::All => true,
+            CancelScope::Nothing => false,
+            CancelScope::Waiting => !held.ran,
+            CancelScope::All => true,
         };
         if stops {
             let ran = held.ran;
             self.drop_job(job);
-            out.push(Done { job, reply: Reply::Silence, ran });
+            out.push(Completion { job, reply: Reply::Silence, executed: ran });
             self.fill(out);
         }
     }
@@ -363,24 +365,24 @@
         let bears = self.spec.fall_multiple * self.spec.cores * self.spec.speed * self.warm * window as f64;
         let load = sum(false) / bears.max(1.0);
         if load > 1.0 {
-            self.fallen = Some(Fall { at: now, told: sum(true) / sum(false), load });
+            self.fallen = Some(OverloadCrash { at: now, notified_share: sum(true) / sum(false), load });
         }
         load > 1.0
     }
 
-    fn fall(&mut self, out: &mut Vec<Done>, last: u64) {
-        out.push(Done { job: last, reply: Reply::Reset, ran: false });
-        self.end(Life::Down, out);
+    fn fall(&mut self, out: &mut Vec<Completion>, last: u64) {
+        out.push(Completion { job: last, reply: Reply::Reset, executed: false });
+        self.end(ServerState::Down, out);
     }
 
     /// Ends the process or the machine; all that it holds is lost.
-    fn end(&mut self, life: Life, out: &mut Vec<Done>) {
-        let reply = if life == Life::Down { Reply::Reset } else { Reply::Silence };
+    fn end(&mut self, life: ServerState, out: &mut Vec<Completion>) {
+        let reply = if life == ServerState::Down { Reply::Reset } else { Reply::Silence };
         for (job, held) in std::mem::take(&mut self.jobs) {
-            out.push(Done { job, reply, ran: held.ran });
+            out.push(Completion { job, reply, executed: held.ran });
         }
         for Reverse((_, job)) in std::mem::take(&mut self.turned) {
-            out.push(Done { job, reply, ran: false });
+            out.push(Completion { job, reply, executed: false });
         }
         self.running.clear();
         self.waiting.clear();
@@ -389,40 +391,40 @@
     }
 
     /// Changes whether it takes part. One that starts is cold; one that fell over stays down.
-    pub fn set_life(&mut self, now: Nanos, life: Life, out: &mut Vec<Done>) {
+    pub fn set_state(&mut self, now: Nanos, life: ServerState, out: &mut Vec<Completion>) {
         self.advance(now, out);
-        let was_off = matches!(self.life, Life::Down | Life::Vanished);
+        let was_off = matches!(self.life, ServerState::Down | ServerState::Vanished);
         match life {
-            Life::Up if self.fallen.is_some() => {}
-            Life::Up if was_off => {
+            ServerState::Up if self.fallen.is_some() => {}
+            ServerState::Up if was_off => {
                 self.warm = self.spec.cold_share;
                 self.sent.clear();
                 self.life = life;
             }
-            Life::Up | Life::Draining if !was_off => self.life = life,
-            Life::Up | Life::Draining => {}
-            Life::Down | Life::Vanished => self.end(life, out),
+            ServerState::Up | ServerState::Draining if !was_off => self.life = life,
+            ServerState::Up | ServerState::Draining => {}
+            ServerState::Down | ServerState::Vanished => self.end(life, out),
         }
     }
 
     /// What goes wrong from now on.
-    pub fn set_faults(&mut self, now: Nanos, faults: Faults, out: &mut Vec<Done>) {
+    pub fn set_faults(&mut self, now: Nanos, faults: ServerFaults, out: &mut Vec<Completion>) {
         self.advance(now, out);
         self.faults = faults;
     }
 
     /// What goes wrong at present.
-    pub fn faults(&self) -> &Faults {
+    pub fn faults(&self) -> &ServerFaults {
         &self.faults
     }
 
-    fn fill(&mut self, out: &mut Vec<Done>) {
+    fn fill(&mut self, out: &mut Vec<Completion>) {
         while self.running.len() < self.spec.slots {
             let Some(job) = self.waiting.pop_front() else { return };
             let Some(held) = self.jobs.get_mut(&job) else { continue };
             if self.spec.drops_expired && held.expires <= self.at {
                 self.jobs.remove(&job);
-                out.push(Done { job, reply: Reply::TurnedAway, ran: false });
+                out.push(Completion { job, reply: Reply::TurnedAway, executed: false });
                 continue;
             }
             held.ran = true;
@@ -451,11 +453,11 @@
     }
 
     /// Lets time pass; what came to its end is appended.
-    pub fn advance(&mut self, now: Nanos, out: &mut Vec<Done>) {
+    pub fn advance(&mut self, now: Nanos, out: &mut Vec<Completion>) {
         while let Some(&Reverse((at, job))) = self.turned.peek().filter(|&&Reverse((at, _))| at <= now) {
             self.turned.pop();
             let _ = at;
-            out.push(Done { job, reply: Reply::TurnedAway, ran: false });
+            out.push(Completion { job, reply: Reply::TurnedAway, executed: false });
         }
         while self.at < now {
             let (rate, least) = (self.rate(), self.least());
@@ -482,12 +484,12 @@
     }
 
     fn warm_up(&mut self, passed: f64, work: f64) {
-        if self.warm >= 1.0 || matches!(self.life, Life::Down | Life::Vanished) {
+        if self.warm >= 1.0 || matches!(self.life, ServerState::Down | ServerState::Vanished) {
             return;
         }
         let ramp = (self.spec.ramp_s * SECOND as f64).max(1.0);
         let full = ramp * self.spec.cores * self.spec.speed; // work of a whole ramp at full speed
-        let by_work = if self.spec.warm_by == WarmBy::Work { 2.0 * work / full } else { 0.0 };
+        let by_work = if self.spec.warm_by == WarmUpMode::Work { 2.0 * work / full } else { 0.0 };
         self.warm += (1.0 - self.spec.cold_share) * (passed / ramp).max(by_work);
         if self.warm >= 1.0 {
             self.warm = 1.0;
@@ -495,7 +497,7 @@
         }
     }
 
-    fn finish(&mut self, out: &mut Vec<Done>) {
+    fn finish(&mut self, out: &mut Vec<Completion>) {
         let jobs = &self.jobs;
         let mut ended = Vec::new();
         self.running.retain(|job| {
@@ -508,7 +510,7 @@
         for job in ended {
             self.jobs.remove(&job);
             let reply = self.fate();
-            out.push(Done { job, reply, ran: true });
+            out.push(Completion { job, reply, executed: true });
         }
         self.fill(out);
     }
--- a/crates/simulation/tests/laws.rs
+++ b/crates/simulation/tests/laws.rs
@@ -2,10 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use merlinfold_simulation::clients::{Clients, End};
-use merlinfold_simulation::experiment::{Effect, Experiment};
+use merlinfold_simulation::clients::{Clients, TryOutcome};
+use merlinfold_simulation::experiment::{Experiment, RetrySafety};
 use merlinfold_simulation::seed::Seed;
-use merlinfold_simulation::server::{Arrival, Cancels, Done, Faults, Life, Reply, Server, Spec, WarmBy};
+use merlinfold_simulation::server::{
+    Arrival, CancelScope, Completion, Reply, Server, ServerFaults, ServerSpec, ServerState, WarmUpMode,
+};
 use merlinfold_simulation::{Nanos, MS, SECOND};
 use proptest::prelude::*;
 
@@ -45,21 +47,17 @@
     Pass(Nanos),
     Ask { work: Nanos, fresh: bool },
     Abandon(usize),
-    Life(Life),
-    Faults(Faults),
+    Life(ServerState),
+    Faults(ServerFaults),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let life = prop_oneof![
-        6 => Just(Life::Up), 2 => Just(Life::Draining), 1 => Just(Life::Down), 1 => Just(Life::Vanished)
+        6 => Just(ServerState::Up), 2 => Just(ServerState::Draining), 1 => Just(ServerState::Down), 1 => Just(ServerState::Vanished)
     ];
     let faults =
-        (0.0f64..4.0, any::<bool>(), 0.0f64..0.3, 0.0f64..0.3).prop_map(|(slow, hung, lose, cut)| Faults {
-            slow,
-            hung: hung && slow > 3.0,
-            lose,
-            cut,
-            ..Faults::default()
+        (0.0f64..4.0, any::<bool>(), 0.0f64..0.3, 0.0f64..0.3).prop_map(|(slow, hung, lose, cut)| {
+            ServerFaults { slow, hung: hung && slow > 3.0, lose, cut, ..ServerFaults::default() }
         });
     prop_oneof![
         10 => (0u64..60).prop_map(|ms| Step::Pass(ms * MS)),
@@ -70,12 +68,12 @@
     ]
 }
 
-fn spec() -> impl Strategy<Value = Spec> {
+fn spec() -> impl Strategy<Value = ServerSpec> {
     (1usize..4, 0usize..6, 0.2f64..3.0, any::<bool>(), 0usize..3).prop_map(
         |(slots, queue, speed, by_work, c)| {
-            let cancels = [Cancels::Nothing, Cancels::Waiting, Cancels::All][c];
-            let warm_by = if by_work { WarmBy::Work } else { WarmBy::Time };
-            Spec { slots, queue, speed, cancels, warm_by, fall_multiple: 1e3, ..Spec::default() }
+            let cancels = [CancelScope::Nothing, CancelScope::Waiting, CancelScope::All][c];
+            let warm_by = if by_work { WarmUpMode::Work } else { WarmUpMode::Time };
+            ServerSpec { slots, queue, speed, cancels, warm_by, fall_multiple: 1e3, ..ServerSpec::default() }
         },
     )
 }
@@ -100,38 +98,38 @@
                 }
                 Step::Ask { work, fresh } => {
                     next += 1;
-                    let arrival = Arrival { job: next, class: 0, work, expires: now + SECOND, fresh, told: true };
-                    server.request(now, arrival, &mut out);
+                    let arrival = Arrival { job: next, class: 0, work, expires: now + SECOND, new_connection: fresh, notified_of_start: true };
+                    server.receive_request(now, arrival, &mut out);
                 }
-                Step::Abandon(job) => server.abandoned(now, job as u64, &mut out),
-                Step::Life(life) => server.set_life(now, life, &mut out),
+                Step::Abandon(job) => server.attempt_abandoned(now, job as u64, &mut out),
+                Step::Life(life) => server.set_state(now, life, &mut out),
                 Step::Faults(faults) => server.set_faults(now, faults, &mut out),
             }
-            prop_assert!(server.held() <= room);
-            prop_assert!(server.next_due().is_none_or(|due| due > now || server.held() == 0));
-            prop_assert!(server.warmth() > 0.0 && server.warmth() <= 1.0);
+            prop_assert!(server.pending_requests() <= room);
+            prop_assert!(server.next_due().is_none_or(|due| due > now || server.pending_requests() == 0));
+            prop_assert!(server.warm_fraction() > 0.0 && server.warm_fraction() <= 1.0);
         }
-        prop_assert!(server.done() <= now as f64 * fastest * (1.0 + 1e-9) + 1.0);
+        prop_assert!(server.completed_work() <= now as f64 * fastest * (1.0 + 1e-9) + 1.0);
         // Left alone and well, it finishes what it holds.
-        server.set_faults(now, Faults::default(), &mut out);
+        server.set_faults(now, ServerFaults::default(), &mut out);
         server.advance(now + 600 * SECOND, &mut out);
-        let mut ends: BTreeMap<u64, Vec<Done>> = BTreeMap::new();
+        let mut ends: BTreeMap<u64, Vec<Completion>> = BTreeMap::new();
         out.iter().for_each(|done| ends.entry(done.job).or_default().push(*done));
         for job in 1..=next {
             let of = ends.get(&job).map_or(0, Vec::len);
             prop_assert_eq!(of, 1, "request {}: {:?}", job, ends.get(&job));
         }
-        let proven = |done: &Done| done.reply != Reply::TurnedAway || !done.ran;
+        let proven = |done: &Completion| done.reply != Reply::TurnedAway || !done.executed;
         prop_assert!(out.iter().all(proven), "turned away though it ran");
     }
 
     /// The steps in which time passes don't change what comes of it.
     #[test]
     fn a_server_does_the_same_work_in_one_step_as_in_many(spec in spec(), cuts in prop::collection::vec(1u64..200, 1..20)) {
-        let ask = |server: &mut Server, out: &mut Vec<Done>| {
+        let ask = |server: &mut Server, out: &mut Vec<Completion>| {
             for job in 0..4 {
-                let arrival = Arrival { job, class: 0, work: 30 * MS, expires: Nanos::MAX, fresh: false, told: true };
-                server.request(0, arrival, out);
+                let arrival = Arrival { job, class: 0, work: 30 * MS, expires: Nanos::MAX, new_connection: false, notified_of_start: true };
+                server.receive_request(0, arrival, out);
             }
         };
         let (mut once, mut often, mut one, mut many) =
@@ -146,7 +144,7 @@
             often.advance(now, &mut many);
         }
         prop_assert_eq!(one, many);
-        prop_assert!((once.done() - often.done()).abs() < 10.0);
+        prop_assert!((once.completed_work() - often.completed_work()).abs() < 10.0);
     }
 
     /// A request has no more tries than its client has, at most one at a time, all within its deadline and
@@ -154,36 +152,36 @@
     #[test]
     fn clients_repeat_only_what_they_may(seed in any::<u64>(), ends in prop::collection::vec((0u8..7, 1u64..300), 1..200)) {
         let day = toml::from_str::<Experiment>(DAY).unwrap();
-        day.check().unwrap();
+        day.validate().unwrap();
         let mut clients = Clients::new(&day, Seed(seed));
         let (mut ids, mut open, mut turn) = (BTreeSet::new(), Vec::new(), 0);
-        let mut last: BTreeMap<usize, End> = BTreeMap::new();
+        let mut last: BTreeMap<usize, TryOutcome> = BTreeMap::new();
         while let Some(due) = clients.next_due() {
-            let Some(started) = clients.start(due) else { panic!("due but not started") };
+            let Some(started) = clients.start_try(due) else { panic!("due but not started") };
             prop_assert!(ids.insert(started.id), "an id twice");
             prop_assert!(started.number <= day.clients.retries);
-            let deadline = started.wish.at + 500 * MS;
+            let deadline = started.plan.at + 500 * MS;
             prop_assert!(due <= deadline && due + started.budget <= deadline);
             if let Some(end) = last.get(&started.request) {
-                let again = end.refused() || *end == End::Unreachable;
-                prop_assert!(again || day.classes[started.wish.class].effect == Effect::Safe, "{:?}", end);
-                prop_assert!(!end.served() && *end != End::Left);
+                let again = end.refused() || *end == TryOutcome::Unreachable;
+                prop_assert!(again || day.classes[started.plan.class].effect == RetrySafety::Safe, "{:?}", end);
+                prop_assert!(!end.served() && *end != TryOutcome::Left);
             }
             open.push(started);
             let (kind, after) = ends[turn % ends.len()];
             turn += 1;
             let started = open.pop().unwrap();
             let end = match kind {
-                0 => End::Unanswered,
-                1 => End::Closed,
-                2 => End::Unreachable,
-                3 => End::Left,
-                4 => End::Answered { status: 503, retry_after: 0, genuine: false },
-                5 => End::Answered { status: 502, retry_after: 0, genuine: false },
-                _ => End::Answered { status: 200, retry_after: 0, genuine: true },
+                0 => TryOutcome::Unanswered,
+                1 => TryOutcome::Closed,
+                2 => TryOutcome::Unreachable,
+                3 => TryOutcome::Left,
+                4 => TryOutcome::Answered { status: 503, retry_after: 0, genuine: false },
+                5 => TryOutcome::Answered { status: 502, retry_after: 0, genuine: false },
+                _ => TryOutcome::Answered { status: 200, retry_after: 0, genuine: true },
             };
             last.insert(started.request, end);
-            clients.ended(due + after.min(started.budget / MS) * MS, started.id, end);
+            clients.try_ended(due + after.min(started.budget / MS) * MS, started.id, end);
         }
         prop_assert!(clients.done());
     }
@@ -192,28 +190,28 @@
 /// Guards the fourth rule's model: a cold server bears its share, and falls over under much more.
 #[test]
 fn a_cold_server_falls_over_when_flooded_and_stays_down() {
-    let spec = Spec { queue: 1_000, ramp_s: 100.0, ..Spec::default() };
+    let spec = ServerSpec { queue: 1_000, ramp_s: 100.0, ..ServerSpec::default() };
     for (gap, falls) in [(30 * MS, false), (2 * MS, true)] {
         let mut server = Server::new(spec.clone(), 0, 1);
         let mut out = Vec::new();
-        server.set_life(0, Life::Down, &mut out);
-        server.set_life(0, Life::Up, &mut out);
+        server.set_state(0, ServerState::Down, &mut out);
+        server.set_state(0, ServerState::Up, &mut out);
         for job in 0..400 {
             let arrival = Arrival {
                 job,
                 class: 0,
                 work: 8 * MS,
                 expires: Nanos::MAX,
-                fresh: false,
-                told: job % 4 != 0,
+                new_connection: false,
+                notified_of_start: job % 4 != 0,
             };
-            server.request(job * gap, arrival, &mut out);
+            server.receive_request(job * gap, arrival, &mut out);
         }
-        assert_eq!(server.fallen().is_some(), falls, "a request each {gap} ns");
-        if let Some(fall) = server.fallen() {
-            assert!((fall.told - 0.75).abs() < 0.05 && fall.load > 1.0, "{fall:?}");
-            server.set_life(10 * SECOND, Life::Up, &mut out);
-            assert_eq!(server.life(), Life::Down);
+        assert_eq!(server.overload_crash().is_some(), falls, "a request each {gap} ns");
+        if let Some(fall) = server.overload_crash() {
+            assert!((fall.notified_share - 0.75).abs() < 0.05 && fall.load > 1.0, "{fall:?}");
+            server.set_state(10 * SECOND, ServerState::Up, &mut out);
+            assert_eq!(server.state(), ServerState::Down);
         }
     }
 }
@@ -223,8 +221,8 @@
 fn what_is_drawn_has_the_stated_rate_and_shares() {
     let mut day = toml::from_str::<Experiment>(DAY).unwrap();
     day.seconds = 60.0;
-    let wishes = merlinfold_simulation::clients::draw(&day, Seed(3));
-    let expected = day.per_second() * 60.0;
+    let wishes = merlinfold_simulation::clients::generate_requests(&day, Seed(3));
+    let expected = day.mean_requests_per_second() * 60.0;
     assert!((wishes.len() as f64 / expected - 1.0).abs() < 0.15, "{} of {expected}", wishes.len());
     let fetch = wishes.iter().filter(|wish| wish.class == 0).count() as f64 / wishes.len() as f64;
     assert!((fetch - 0.5).abs() < 0.03, "{fetch}");
@@ -237,12 +235,12 @@
 #[test]
 fn a_change_counts_as_told_so_long_after_discovery_had_it_and_could_be_reached() {
     use merlinfold_simulation::discovery::Status;
-    use merlinfold_simulation::told::{told_by_default, Outage, Told};
+    use merlinfold_simulation::notifications::{add_implied_notifications, Notification, Outage};
     let (latest, server, status) = (6_000, 0, Status::Terminating);
     let outages = [Outage { from: 10_000, until: Some(14_000) }, Outage { from: 40_000, until: None }];
     let counts = |shown| {
         let mut told = Vec::new();
-        told_by_default(&mut told, &[(shown, server, status)], 1, latest, &outages);
+        add_implied_notifications(&mut told, &[(shown, server, status)], 1, latest, &outages);
         told.first().map(|told| told.at)
     };
     assert_eq!(counts(1_000), Some(7_000));
@@ -251,7 +249,7 @@
     assert_eq!(counts(12_000), Some(20_000));
     assert_eq!(counts(14_000), Some(20_000));
     assert_eq!(counts(38_000), None, "discovery is never back");
-    let mut heard = vec![Told { node: 0, server, status, at: 16_000 }];
-    told_by_default(&mut heard, &[(12_000, server, status)], 1, latest, &outages);
+    let mut heard = vec![Notification { node: 0, server, status, at: 16_000 }];
+    add_implied_notifications(&mut heard, &[(12_000, server, status)], 1, latest, &outages);
     assert_eq!(heard.len(), 1, "it was heard in time");
 }
