--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -1,5 +1,5 @@
-//! An experiment: what fleet serves what load while what goes wrong, and the question it asks. Written as
-//! TOML; every key is a field here.
+//! Experiments. An experiment describes a fleet, its load and the disruptions during the run, and states the question
+//! that the run answers. It is written as TOML; every key is a field in this module.
 
 use std::collections::BTreeSet;
 
@@ -7,20 +7,20 @@
 
 use crate::{discovery, server, Nanos, MS, SECOND};
 
-mod check;
+mod validate;
 
-pub use check::ExperimentError;
+pub use validate::ExperimentError;
 
-/// A whole experiment.
+/// A complete experiment.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What playing it should tell.
+    /// The question that the run answers.
     pub question: String,
-    /// Length, from the first request to the last.
+    /// Time from the first request to the last, in seconds.
     pub seconds: f64,
-    /// For all that is drawn, unless the command line names another.
-    #[serde(default = "one")]
+    /// Seed of all random numbers, unless the command line names another.
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// The nodes.
     pub nodes: Nodes,
@@ -28,59 +28,59 @@
     pub fleet: Fleet,
     /// The load.
     pub load: Load,
-    /// Classes of requests.
+    /// The classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Tenants; without any, one that may ask for everything.
+    /// The tenants. If there are none, a single tenant without limits sends all requests.
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// What clients do about failures.
+    /// How clients react to failures.
     #[serde(default)]
     pub clients: Clients,
-    /// Discovery.
+    /// Delays and limits of discovery.
     #[serde(default)]
     pub discovery: discovery::DiscoverySpec,
-    /// What goes wrong.
+    /// The disruptions.
     #[serde(default, rename = "trouble")]
     pub disruptions: Vec<Disruption>,
-    /// The figures of the rules.
+    /// Limits that the invariants check.
     #[serde(default)]
     pub rules: Rules,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-/// The nodes, and what each may use.
+/// The nodes and the resources that each may use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Nodes {
-    /// How many; they are spread over the zones in turn.
+    /// Number of nodes; they are assigned to the zones in turn.
     pub count: usize,
-    /// Descriptors of each.
-    #[serde(default = "sockets")]
+    /// Limit of file descriptors of each node.
+    #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// Memory of each, in megabytes; more is a breach.
-    #[serde(default = "memory")]
+    /// Memory limit of each node, in megabytes; exceeding it is a violation.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
-    /// They have to ask for the list; else it comes by itself.
+    /// Whether nodes have to request the server list; otherwise they receive it unasked.
     #[serde(default)]
     pub ask: bool,
-    /// Time after its end until the front notices that a node is gone, in milliseconds.
-    #[serde(default = "notice")]
+    /// Time until the node balancer notices that a node has stopped, in milliseconds.
+    #[serde(default = "default_notice_ms")]
     pub notice_ms: f64,
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1_024
 }
 
-fn memory() -> f64 {
+fn default_memory_mb() -> f64 {
     192.0
 }
 
-fn notice() -> f64 {
+fn default_notice_ms() -> f64 {
     1_500.0
 }
 
@@ -88,9 +88,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Zones; servers of each kind are spread over them in turn.
+    /// Names of the zones; the servers are assigned to them in turn.
     pub zones: Vec<String>,
-    /// Kinds of server.
+    /// The kinds of server.
     #[serde(rename = "kind")]
     pub kinds: Vec<Kind>,
 }
@@ -99,33 +99,33 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// How many there are.
+    /// Number of servers of this kind.
     pub count: usize,
-    /// How it is built.
+    /// Capacity and behaviour of a server of this kind.
     #[serde(default)]
     pub build: server::ServerSpec,
 }
 
-/// What is asked.
+/// The load that clients generate.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Work asked for, as a share of what all servers can do when warm and untroubled.
+    /// Requested work as a share of the capacity of all servers when they are warm and undisturbed.
     pub of_capacity: f64,
-    /// Its shape over time.
+    /// Shape of the load over time.
     #[serde(default)]
     pub shape: Shape,
-    /// How far it strays from its mean, as a share of it.
+    /// Largest deviation from the mean load, as a share of the mean.
     #[serde(default)]
     pub swing: f64,
-    /// Period of the swing, or mean length of a burst, in milliseconds.
-    #[serde(default = "period")]
+    /// Period of a swinging load, or mean duration of a burst, in milliseconds.
+    #[serde(default = "default_period_ms")]
     pub period_ms: f64,
 }
 
-fn period() -> f64 {
+fn default_period_ms() -> f64 {
     8_000.0
 }
 
@@ -133,12 +133,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
-    /// As much at all times.
+    /// The load is constant.
     #[default]
     Steady,
-    /// A level drawn anew for each burst.
+    /// Each burst has a random level.
     Bursty,
-    /// Up and down.
+    /// The load follows a sine wave.
     Swinging,
 }
 
@@ -146,37 +146,41 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// Share of the requests, beside the shares of the other classes.
+    /// Share of the requests, relative to the shares of the other classes.
     pub share: f64,
-    /// Mean work, in milliseconds of a standard core.
+    /// Mean work of a request, in milliseconds of a standard core.
     pub work_ms: f64,
-    /// Deviation of the work over its mean; lognormal.
+    /// Standard deviation of the lognormal work, as a multiple of its mean.
     #[serde(default)]
     pub spread: f64,
-    /// An answer within this many milliseconds earns the worth.
+    /// Latency target in milliseconds; an answer within it earns the value of the request.
     pub aim_ms: f64,
-    /// The client waits so many milliseconds in all.
+    /// Time that a client waits over all tries, in milliseconds.
     pub deadline_ms: f64,
-    /// Worth of a request.
-    #[serde(default = "worth")]
+    /// Value of a request answered within its target.
+    #[serde(default = "default_worth")]
     pub worth: f64,
-    /// What a repeat does.
+    /// Whether a request may be executed more than once.
     pub effect: RetrySafety,
 }
 
-fn worth() -> f64 {
+fn default_worth() -> f64 {
     1.0
 }
 
-/// What a repeat does.
+fn default_part() -> f64 {
+    1.0
+}
+
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RetrySafety {
-    /// No harm.
+    /// Repeated execution does no harm.
     Safe,
-    /// Harm: it must never run twice.
+    /// Repeated execution does harm; the request must never run twice.
     Unsafe,
 }
 
@@ -184,30 +188,30 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// Share of the requests, beside the shares of the others.
+    /// Share of the requests, relative to the shares of the other tenants.
     pub share: f64,
-    /// Requests a second that count in full; 0: no such limit.
+    /// Requests per second that count in full; 0 means no limit.
     #[serde(default)]
     pub quota_per_s: f64,
 }
 
-/// What clients do about failures.
+/// How clients react to failures.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Tries after the first.
+    /// Number of tries after the first.
     pub retries: u32,
-    /// Part of the deadline that one try may take.
+    /// Share of the deadline that one try may take.
     pub try_share: f64,
-    /// Time before a further try, in milliseconds; 0: at once.
+    /// Delay before a retry, in milliseconds; 0 means none.
     pub backoff_ms: f64,
-    /// Share of clients that heed `Retry-After`.
+    /// Share of clients that honour `Retry-After`.
     pub honour: f64,
-    /// Share of tries that their client leaves before their time.
+    /// Share of requests whose client abandons the first try before its timeout.
     pub impatient: f64,
-    /// Further tries are marked as such.
+    /// Whether retries are marked as such.
     pub marks: bool,
 }
 
@@ -217,87 +221,88 @@
     }
 }
 
-/// What goes wrong.
+/// Kinds of disruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DisruptionKind {
-    /// Server processes die and come back cold.
+    /// Server processes crash and restart cold.
     Crash,
-    /// Machines fall silent and come back cold.
+    /// Server machines stop responding and restart cold.
     Vanish,
-    /// Servers take longer, by the factor `size`.
+    /// Servers are slower by the factor `size`.
     Slow,
-    /// Servers take requests and do nothing.
+    /// Servers accept requests and do not process them.
     Hang,
-    /// Servers turn one class away, after `size` milliseconds.
+    /// Servers reject one class after `size` milliseconds.
     TurnAway,
-    /// A share `size` of answers never comes.
+    /// A share `size` of answers is never sent.
     LoseAnswers,
-    /// A share `size` of answers is cut short.
+    /// A share `size` of answers is truncated.
     CutAnswers,
-    /// A share `size` of requests ends in a reset.
+    /// A share `size` of requests ends with a connection reset.
     ResetAnswers,
-    /// A share `size` of answers is no HTTP.
+    /// A share `size` of answers is not valid HTTP.
     MalformedAnswers,
-    /// Servers are drained, stopped and started anew, in batches of `size` of the fleet.
+    /// Servers are drained, stopped and restarted in batches of the share `size` of all servers.
     DeployRoll,
-    /// Nodes get SIGTERM and are started anew, one after another.
+    /// Nodes get SIGTERM and are restarted, one after another.
     NodeRoll,
-    /// Nodes are killed and started anew.
+    /// Nodes are killed and restarted.
     NodeKill,
-    /// Nodes are held up for 0.15 s, each once.
+    /// Each node is paused once for 0.15 s.
     NodePause,
     /// Discovery is out of service.
     DiscoveryOutage,
-    /// A share `size` of the calls to discovery falls silent, is answered late, refused, reset or cut.
+    /// A share `size` of the calls to discovery gets no answer, a late, refused or truncated one, or a reset.
     ListFaults,
-    /// Peers connect and send nothing: `size` of them a second at each node.
+    /// `size` peers per second connect to each node and send nothing.
     SilentPeers,
-    /// Clients ask `size` times as much.
+    /// Clients send `size` times as many requests.
     Surge,
 }
 
-/// One trouble.
+/// One disruption.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Disruption {
-    /// What goes wrong.
+    /// The kind of disruption.
     pub kind: DisruptionKind,
-    /// When, in seconds from the start.
+    /// Start, in seconds since the start of the run.
     pub at_s: f64,
-    /// For how long, in seconds.
+    /// Duration in seconds.
     pub for_s: f64,
-    /// For what part of the servers or nodes.
-    #[serde(default = "worth")]
+    /// Share of the servers or nodes that it affects.
+    #[serde(default = "default_part")]
     pub part: f64,
-    /// How much; what it means depends on the kind.
+    /// Magnitude; its meaning depends on the kind.
     #[serde(default)]
     pub size: Option<f64>,
-    /// The class that is turned away.
+    /// Name of the rejected class, for `turn-away` only.
     #[serde(default)]
     pub class: Option<String>,
 }
 
-/// The figures of the rules.
+/// Limits that the invariants check.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Attempts that a request may have.
+    /// Limit of attempts of one request.
     pub attempts: u32,
-    /// Time after a node was told that a server drains or is gone, in milliseconds, until nothing new may
-    /// reach it.
+    /// Time after a node learns that a server drains or has stopped until the node must send it nothing new, in
+    /// milliseconds.
     pub drain_ms: f64,
-    /// Time beyond the client's own that a final answer may take, and slack of all other limits.
+    /// Time that a final answer may take beyond the client's timeout, in milliseconds; also the tolerance of all
+    /// other limits.
     pub grace_ms: f64,
-    /// Time until a peer that sends no proper request has an error or a close.
+    /// Time within which a peer that sends no valid request must get an error or a close, in milliseconds.
     pub bad_peer_ms: f64,
-    /// Share of requests that may be refused or failed late though nothing was tried for them.
+    /// Share of requests that may be refused or failed late without any attempt.
     pub held_back: f64,
-    /// The lab's own lateness at the 99th percentile, in milliseconds, above which the run is void.
+    /// Limit of the lab's own 99th percentile lateness, in milliseconds; above it the run is void.
     pub lateness_ms: f64,
-    /// Least share of the worth that has to be served, where the experiment asks for one.
+    /// Minimum share of the total value that has to be served; 0 means no minimum.
     pub served: f64,
-    /// Longest `Retry-After` that clients heed, in milliseconds.
+    /// Longest `Retry-After` that clients honour, in milliseconds.
     pub retry_after_ms: f64,
 }
 
@@ -317,33 +322,33 @@
 }
 
 impl Experiment {
-    /// The number of the class of this name.
+    /// Returns the index of the class with this name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// Number of servers.
+    /// Returns the number of servers of all kinds.
     pub fn server_count(&self) -> usize {
         self.fleet.kinds.iter().map(|kind| kind.count).sum()
     }
 
-    /// Kind of each server, by number.
+    /// Returns the index of the kind of each server, by server.
     pub fn server_kinds(&self) -> Vec<usize> {
-        let each = self.fleet.kinds.iter().enumerate();
-        each.flat_map(|(number, kind)| std::iter::repeat_n(number, kind.count)).collect()
+        let kinds = self.fleet.kinds.iter().enumerate();
+        kinds.flat_map(|(index, kind)| std::iter::repeat_n(index, kind.count)).collect()
     }
 
-    /// Zone of a server.
+    /// Returns the index of a server's zone.
     pub fn zone_of_server(&self, server: usize) -> usize {
         server % self.fleet.zones.len()
     }
 
-    /// Zone of a node.
+    /// Returns the index of a node's zone.
     pub fn zone_of_node(&self, node: usize) -> usize {
         node % self.fleet.zones.len()
     }
 
-    /// Requests a second on the mean.
+    /// Returns the mean request rate, in requests per second.
     pub fn mean_requests_per_second(&self) -> f64 {
         let capacity: f64 =
             self.fleet.kinds.iter().map(|k| k.count as f64 * k.build.cores * k.build.speed).sum();
@@ -352,14 +357,14 @@
         self.load.of_capacity * capacity * 1_000.0 / work
     }
 
-    /// Its length.
+    /// Returns the duration of the load.
     pub fn duration(&self) -> Nanos {
         (self.seconds * SECOND as f64) as Nanos
     }
 
-    /// Longest time that a client waits in all.
+    /// Returns the longest deadline of all classes.
     pub fn max_deadline(&self) -> Nanos {
-        let longest = self.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
-        (longest * MS as f64) as Nanos
+        let max_ms = self.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
+        (max_ms * MS as f64) as Nanos
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,13 +1,13 @@
-//! The world around a fleet of nodes: guide servers, clients, the front that spreads them, discovery and
-//! what goes wrong; and the ledger that holds what a node did against the rules.
+//! Models of the environment of a fleet of nodes: guide servers, clients, the balancer that spreads clients over
+//! nodes, discovery and planned disruptions. A ledger records what happened and checks it against the invariants.
 //!
-//! Nothing here does input or output or reads a clock. Time comes in with every call and what is to be done
-//! comes back, so that the same models run in virtual time and, at the lab's sockets, in real time. All
-//! chance comes from one seed ([`seed::Seed`]), one stream for each use of it: a change to one part of a day
-//! leaves the draws of all others as they are.
+//! The models do no input or output and read no clock. Each call passes the current time and returns the actions that
+//! the host has to take, so the same models run in virtual time and, behind the lab's sockets, in real time. All
+//! randomness derives from one seed ([`seed::Seed`]) with a separate stream for each use, so that a change to one
+//! part of an experiment leaves the random numbers of all other parts unchanged.
 //!
-//! It is no measurement of real machines, and no simulator of the network: latencies between the parties
-//! are the host's.
+//! The models do not measure real machines and do not simulate the network: the host determines latencies between the
+//! parties.
 //!
 //! ```
 //! use merlinfold_simulation::server::{Arrival, Reply, Server, ServerSpec};
@@ -25,7 +25,7 @@
 //!     notified_of_start: true,
 //! };
 //! server.receive_request(0, arrival, &mut out);
-//! let due = server.next_due().unwrap(); // twice as fast as a standard core
+//! let due = server.next_due().unwrap(); // the core is twice as fast as a standard core
 //! assert_eq!(due, 5 * MS);
 //! server.advance(due, &mut out);
 //! assert_eq!((out[0].job, out[0].reply), (1, Reply::Served));
@@ -44,16 +44,16 @@
 pub mod seed;
 pub mod server;
 
-/// A point in time since the day's start, or a duration, in nanoseconds.
+/// A time since the start of the run, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A millisecond, in [`Nanos`].
+/// One millisecond in [`Nanos`].
 pub const MS: Nanos = 1_000_000;
 
-/// A second, in [`Nanos`].
+/// One second in [`Nanos`].
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// Milliseconds, as files state them.
+/// Converts milliseconds, the unit of experiment files, to [`Nanos`]; negative values become 0.
 pub fn millis(ms: f64) -> Nanos {
     (ms.max(0.0) * MS as f64) as Nanos
 }
--- a/crates/simulation/src/list_faults.rs
+++ b/crates/simulation/src/list_faults.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery that go wrong one by one: drawn for each call of each node.
+//! Faults of single calls to discovery, sampled for each call of each node.
 
 use std::collections::BTreeMap;
 
@@ -7,56 +7,63 @@
 use crate::seed::{Seed, Stream};
 use crate::{Nanos, MS};
 
-/// Faulty calls in a row that one node meets at most: discovery counts as reachable, so what it has must be heard.
-const MAX_IN_A_ROW: u32 = 2;
-/// Longest delay of a late answer.
-const MAX_DELAY: Nanos = 6_000 * MS;
+/// Limit of consecutive faulty calls of one node. Discovery counts as reachable during this disruption, so its changes
+/// have to get through.
+const MAX_CONSECUTIVE_FAULTS: u32 = 2;
+/// Upper bound of the delay of a late answer.
+const MAX_ANSWER_DELAY: Nanos = 6_000 * MS;
 
-/// What goes wrong with one call.
+/// A fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFault {
-    /// It is read and never answered.
+    /// Discovery reads the call and never answers.
     Silent,
-    /// Its answer is written so much later.
+    /// Discovery answers after this additional delay.
     Late(Nanos),
-    /// It is answered with 503.
+    /// Discovery answers with status 503.
     Refused,
-    /// Its connection is reset.
+    /// Discovery resets the connection.
     Reset,
-    /// Its answer ends half way with the connection.
+    /// Discovery closes the connection in the middle of its answer.
     Cut,
 }
 
-/// Draws the faults of one day.
+/// Samples the faults of calls to discovery in one run.
 #[derive(Debug)]
 pub struct ListFaultSampler {
     stream: Stream,
     share: f64,
-    in_a_row: BTreeMap<usize, u32>,
+    consecutive_faults: BTreeMap<usize, u32>,
 }
 
 impl ListFaultSampler {
-    /// None until a share is set.
+    /// Creates a sampler that yields no faults until a share is set.
     pub fn new(seed: Seed) -> Self {
-        ListFaultSampler { stream: seed.stream("list-faults", 0), share: 0.0, in_a_row: BTreeMap::new() }
+        ListFaultSampler {
+            stream: seed.stream("list-faults", 0),
+            share: 0.0,
+            consecutive_faults: BTreeMap::new(),
+        }
     }
 
-    /// From now on this share of calls meets a fault.
+    /// Sets the share of calls that get a fault from now on.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// What goes wrong with the call that a node makes now.
+    /// Samples the fault of a call that `node` makes now; `None` if the call succeeds.
     pub fn sample(&mut self, node: usize) -> Option<ListFault> {
-        let in_a_row = self.in_a_row.entry(node).or_default();
-        if *in_a_row >= MAX_IN_A_ROW || !self.stream.random_bool(self.share.clamp(0.0, 1.0)) {
-            *in_a_row = 0;
+        let consecutive_faults = self.consecutive_faults.entry(node).or_default();
+        if *consecutive_faults >= MAX_CONSECUTIVE_FAULTS
+            || !self.stream.random_bool(self.share.clamp(0.0, 1.0))
+        {
+            *consecutive_faults = 0;
             return None;
         }
-        *in_a_row += 1;
+        *consecutive_faults += 1;
         Some(match self.stream.random_range(0..8) {
             0..=2 => ListFault::Silent,
-            3..=4 => ListFault::Late(self.stream.random_range(0..MAX_DELAY)),
+            3..=4 => ListFault::Late(self.stream.random_range(0..MAX_ANSWER_DELAY)),
             5 => ListFault::Refused,
             6 => ListFault::Reset,
             _ => ListFault::Cut,
--- a/crates/simulation/src/notifications.rs
+++ b/crates/simulation/src/notifications.rs
@@ -1,59 +1,61 @@
-//! What nodes were told of servers, and what counts as told although nobody heard it.
+//! Status changes of servers that nodes learned from discovery, and those that they should have learned.
 
 use std::collections::BTreeMap;
 
 use crate::discovery::Status;
 use crate::Nanos;
 
-/// That a node was told of a server.
+/// A node's learning of a server's status.
 #[derive(Clone, Copy, Debug)]
 pub struct Notification {
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// What it was told.
+    /// The status that the node learned.
     pub status: Status,
-    /// When.
+    /// When the node learned it.
     pub at: Nanos,
 }
 
-/// A time in which discovery could not be reached.
+/// A period in which discovery could not be reached.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// When it began.
+    /// Start of the outage.
     pub from: Nanos,
-    /// When discovery was back; none: not yet.
+    /// End of the outage; `None` while it lasts.
     pub until: Option<Nanos>,
 }
 
-/// Adds what counts as told although nobody heard it: what the list showed and a node did not learn within
-/// `latest` of the moment from which discovery had it and could be reached.
+/// Adds a notification for each published change that a node did not receive within `max_delay`, counted from the time
+/// at which discovery published the change and could be reached. The node is held to such a change as if it had
+/// received it at the end of that delay.
 pub fn add_implied_notifications(
-    told: &mut Vec<Notification>, shown: &[(Nanos, usize, Status)], nodes: usize, latest: Nanos,
-    outages: &[Outage],
+    notifications: &mut Vec<Notification>, published: &[(Nanos, usize, Status)], nodes: usize,
+    max_delay: Nanos, outages: &[Outage],
 ) {
-    let mut heard: BTreeMap<(usize, usize), Vec<Nanos>> = BTreeMap::new();
-    for one in told.iter() {
-        heard.entry((one.node, one.server)).or_default().push(one.at);
+    let mut received: BTreeMap<(usize, usize), Vec<Nanos>> = BTreeMap::new();
+    for notification in notifications.iter() {
+        received.entry((notification.node, notification.server)).or_default().push(notification.at);
     }
-    for &(at, server, status) in shown {
-        let Some(reachable) = reachable_from(at, latest, outages) else { continue };
-        let counts = reachable + latest;
+    for &(at, server, status) in published {
+        let Some(reachable) = reachable_from(at, max_delay, outages) else { continue };
+        let deadline = reachable + max_delay;
         for node in 0..nodes {
-            let times = heard.get(&(node, server)).map_or(&[][..], Vec::as_slice);
-            if !times.iter().any(|time| (at..=counts).contains(time)) {
-                told.push(Notification { node, server, status, at: counts });
+            let times = received.get(&(node, server)).map_or(&[][..], Vec::as_slice);
+            if !times.iter().any(|time| (at..=deadline).contains(time)) {
+                notifications.push(Notification { node, server, status, at: deadline });
             }
         }
     }
 }
 
-/// From when what is shown at this time could be heard for so long without an outage; none: not yet.
-fn reachable_from(at: Nanos, latest: Nanos, outages: &[Outage]) -> Option<Nanos> {
+/// Returns the earliest time, not before `at`, from which discovery is reachable for `duration` without an outage;
+/// `None` if an outage that has not ended prevents it.
+fn reachable_from(at: Nanos, duration: Nanos, outages: &[Outage]) -> Option<Nanos> {
     let mut from = at;
     for outage in outages {
-        let overlaps = outage.from < from + latest && outage.until.is_none_or(|until| until > from);
+        let overlaps = outage.from < from + duration && outage.until.is_none_or(|until| until > from);
         if overlaps {
             from = outage.until?;
         }
--- a/crates/simulation/src/server.rs
+++ b/crates/simulation/src/server.rs
@@ -1,8 +1,8 @@
-//! A guide server: what it does with the requests that reach it.
+//! The model of a guide server.
 //!
-//! Requests in work share its cores; the rest wait in its waiting room, and what finds no place there is
-//! turned away unseen. A server that holds too many gets less done, one that has just started is cold, and
-//! a cold one that is sent too much falls over and stays down.
+//! Running requests share the cores of the server. Further requests wait in a bounded queue; the server rejects those
+//! that find it full without processing them. A server with too many pending requests becomes less efficient, and one
+//! that has just started is cold. A cold server crashes and stays down if it receives too much work.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -13,70 +13,70 @@
 use crate::seed::{Seed, Stream};
 use crate::{millis, Nanos, MS, SECOND};
 
-/// While a server warms up its speed is taken as constant for so long at the most.
-const WARM_STEP: Nanos = 50 * MS;
+/// Longest step of time in which the speed of a warming server is taken as constant.
+const MAX_WARM_UP_STEP: Nanos = 50 * MS;
 
-/// What stops when its client gives up.
+/// The requests that a server stops when their client gives up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CancelScope {
-    /// Nothing: work goes on for nobody.
+    /// None: the server goes on with work that nobody waits for.
     #[default]
     Nothing,
-    /// What still waits.
+    /// Requests that are still queued.
     Waiting,
-    /// What waits and what is in work.
+    /// Queued and running requests.
     All,
 }
 
-/// What warms a server.
+/// What makes a cold server warm.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WarmUpMode {
-    /// Time alone.
+    /// Elapsed time alone.
     #[default]
     Time,
-    /// The work it has done; never slower than by time.
+    /// Completed work, but never slower than by elapsed time.
     Work,
 }
 
-/// How a kind of server is built.
+/// Capacity and behaviour of a kind of server.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServerSpec {
-    /// Cores that share the requests in work.
+    /// Number of cores, shared by the running requests.
     pub cores: f64,
-    /// Speed of a core; 1 is that of a standard core.
+    /// Speed of a core, relative to a standard core.
     pub speed: f64,
-    /// Requests in work at once.
+    /// Limit of requests that run at once.
     pub slots: usize,
-    /// Requests that may wait beyond those.
+    /// Limit of requests that wait in the queue.
     pub queue: usize,
-    /// Requests held from which on it gets less efficient ...
+    /// Number of pending requests above which the server becomes less efficient.
     pub choke_at: usize,
-    /// ... by so much of its speed for each further such number.
+    /// Slowdown for each further `choke_at` pending requests, as a share of the unimpaired service time.
     pub choke: f64,
-    /// Share of its speed that it starts with.
+    /// Share of its full speed that a server has after its start.
     pub cold_share: f64,
-    /// Time after which it is warm at the latest, in seconds.
+    /// Longest time until the server is warm, in seconds.
     pub ramp_s: f64,
-    /// What warms it.
+    /// What makes the server warm.
     pub warm_by: WarmUpMode,
-    /// Multiple of its present capacity that makes a cold server fall over ...
+    /// Multiple of its current capacity that crashes a cold server if it receives more work within `fall_ms`.
     pub fall_multiple: f64,
-    /// ... when it is sent within so long, in milliseconds.
+    /// Length of the window for `fall_multiple`, in milliseconds.
     pub fall_ms: f64,
     /// Work that a new connection costs, in milliseconds of a standard core.
     pub connect_ms: f64,
-    /// Connections that it keeps.
+    /// Limit of open connections.
     pub connections: usize,
-    /// Idle time after which it closes one, in seconds.
+    /// Idle time after which the server closes a connection, in seconds.
     pub idle_s: f64,
-    /// What stops when its client gives up.
+    /// The requests that the server stops when their client gives up.
     pub cancels: CancelScope,
-    /// What waits past its time is turned away rather than run.
+    /// Whether queued requests that have expired are rejected instead of run.
     pub drops_expired: bool,
-    /// Share of requests that end in an error.
+    /// Share of requests that end with an error.
     pub errors: f64,
 }
 
@@ -104,419 +104,427 @@
     }
 }
 
-/// Whether it takes part.
+/// Whether a server accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It does.
+    /// The server accepts requests.
     Up,
-    /// It finishes what it holds and turns away the rest.
+    /// The server finishes its pending requests and rejects new ones.
     Draining,
-    /// The process has ended: connections are reset and refused.
+    /// The process has ended: its connections are reset and new ones refused.
     Down,
-    /// The machine has gone: nothing is said any more, by anybody.
+    /// The machine is gone: nothing answers or resets a connection.
     Vanished,
 }
 
-/// What goes wrong with its answers.
+/// Faults of a server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerFaults {
-    /// Factor by which all takes longer; 0 stands for 1.
+    /// Factor by which requests take longer; values below 1 count as 1.
     pub slow: f64,
-    /// It takes requests and does nothing.
+    /// The server accepts requests and does not process them.
     pub hung: bool,
-    /// Shares of requests whose answer never comes, ...
+    /// Share of requests that get no answer.
     pub lose: f64,
-    /// ... is cut short, ...
+    /// Share of requests whose answer is truncated.
     pub cut: f64,
-    /// ... ends in a reset, ...
+    /// Share of requests that end with a connection reset.
     pub reset: f64,
-    /// ... or is no HTTP.
+    /// Share of requests whose answer is not valid HTTP.
     pub malformed: f64,
-    /// A class that is turned away, and after what time.
+    /// Index of a class that is rejected, and the delay of the rejection.
     pub turn_away: Option<(usize, Nanos)>,
 }
 
-/// A request as it reaches a server.
+/// An attempt that reaches a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Name of the attempt, for the host.
+    /// Id of the attempt, which the host chooses.
     pub job: u64,
-    /// Its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Work, as time on a standard core.
+    /// Work of the request, as time on a standard core.
     pub work: Nanos,
-    /// When nobody waits for it any more.
+    /// When the sender stops waiting.
     pub expires: Nanos,
-    /// It is the first on its connection.
+    /// Whether it is the first request on its connection.
     pub new_connection: bool,
-    /// Its node has been told of the server's last start.
+    /// Whether the sending node has learned of the server's last start.
     pub notified_of_start: bool,
 }
 
-/// What comes back.
+/// What the sender of an attempt gets back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The answer.
+    /// A complete answer.
     Served,
-    /// An error; it may have run.
+    /// An error; the request may have been executed.
     Error,
-    /// It never ran.
+    /// A rejection; the request was not executed.
     TurnedAway,
-    /// The beginning of an answer.
+    /// A truncated answer.
     Cut,
-    /// The end of the connection.
+    /// A reset of the connection.
     Reset,
-    /// Bytes that are no answer.
+    /// Bytes that are not a valid answer.
     Malformed,
-    /// Nothing, ever.
+    /// Nothing at any time.
     Silence,
 }
 
-/// That an attempt has come to its end at the server.
+/// The end of an attempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// The attempt.
+    /// Id of the attempt.
     pub job: u64,
-    /// What comes back.
+    /// What the sender gets back.
     pub reply: Reply,
-    /// It ran, at least in part.
+    /// Whether the request was executed, at least in part.
     pub executed: bool,
 }
 
 #[derive(Debug)]
 struct Job {
-    left: f64, // work, ns of a standard core
+    remaining_work: f64, // ns of a standard core
     expires: Nanos,
-    ran: bool,
+    executed: bool,
 }
 
-/// One guide server.
+/// A guide server.
 #[derive(Debug)]
 pub struct Server {
     spec: ServerSpec,
-    life: ServerState,
+    state: ServerState,
     faults: ServerFaults,
     rng: Stream,
-    at: Nanos, // up to which the work is reckoned
+    advanced_to: Nanos, // time up to which the work is computed
     jobs: BTreeMap<u64, Job>,
     running: Vec<u64>,
-    waiting: VecDeque<u64>,
-    turned: BinaryHeap<Reverse<(Nanos, u64)>>, // to be turned away, and when
-    open: usize,                               // connections
-    warm: f64,                                 // share of its full speed
-    sent: VecDeque<(Nanos, f64, bool)>,        // work that reached it while it was cold
-    fallen: Option<OverloadCrash>,
-    busy: f64, // work done, ns of a standard core
+    queue: VecDeque<u64>,
+    rejections: BinaryHeap<Reverse<(Nanos, u64)>>, // due time and job
+    open_connections: usize,
+    warm_fraction: f64,                          // share of its full speed
+    cold_arrivals: VecDeque<(Nanos, f64, bool)>, // time, work and notified_of_start
+    overload_crash: Option<OverloadCrash>,
+    completed_work: f64, // ns of a standard core
 }
 
-/// How a cold server fell over.
+/// The crash of a cold server that received too much work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadCrash {
-    /// When.
+    /// When it crashed.
     pub at: Nanos,
-    /// Share of the work that came from nodes which had been told of its start.
+    /// Share of the work that came from nodes which had learned of its start.
     pub notified_share: f64,
-    /// Work that reached it within the window, over what it could bear.
+    /// Work that reached it within the window, relative to the work that it tolerates.
     pub load: f64,
 }
 
 impl Server {
-    /// A warm server.
+    /// Creates a warm server. `number` selects its random stream.
     pub fn new(spec: ServerSpec, number: u64, seed: u64) -> Self {
         Server {
             spec,
-            life: ServerState::Up,
+            state: ServerState::Up,
             faults: ServerFaults::default(),
             rng: Seed(seed).stream("server", number),
-            at: 0,
+            advanced_to: 0,
             jobs: BTreeMap::new(),
             running: Vec::new(),
-            waiting: VecDeque::new(),
-            turned: BinaryHeap::new(),
-            open: 0,
-            warm: 1.0,
-            sent: VecDeque::new(),
-            fallen: None,
-            busy: 0.0,
+            queue: VecDeque::new(),
+            rejections: BinaryHeap::new(),
+            open_connections: 0,
+            warm_fraction: 1.0,
+            cold_arrivals: VecDeque::new(),
+            overload_crash: None,
+            completed_work: 0.0,
         }
     }
 
-    /// Whether it takes part.
+    /// Returns whether the server accepts requests.
     pub fn state(&self) -> ServerState {
-        self.life
+        self.state
     }
 
-    /// Share of its full speed.
+    /// Returns the current share of the full speed; 1 when warm.
     pub fn warm_fraction(&self) -> f64 {
-        self.warm
+        self.warm_fraction
     }
 
-    /// How it fell over, if it did.
+    /// Returns the crash of the server, if it crashed while cold.
     pub fn overload_crash(&self) -> Option<OverloadCrash> {
-        self.fallen
+        self.overload_crash
     }
 
-    /// Requests that it holds.
+    /// Returns the number of queued and running requests.
     pub fn pending_requests(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Work done so far, as nanoseconds of a standard core.
+    /// Returns the work completed so far, in nanoseconds of a standard core.
     pub fn completed_work(&self) -> f64 {
-        self.busy
+        self.completed_work
     }
 
-    /// Idle time after which it closes a connection.
+    /// Returns the idle time after which the server closes a connection.
     pub fn idle_time(&self) -> Nanos {
         (self.spec.idle_s * SECOND as f64) as Nanos
     }
 
-    /// Work done in a nanosecond when all cores are in use.
+    /// Returns the work done per nanosecond when all cores are in use.
     pub fn capacity(&self) -> f64 {
-        let held = self.jobs.len() as f64 / self.spec.choke_at.max(1) as f64;
-        let choked = 1.0 + self.spec.choke * (held - 1.0).max(0.0);
-        self.spec.cores * self.spec.speed * self.warm / (self.faults.slow.max(1.0) * choked)
+        let load = self.jobs.len() as f64 / self.spec.choke_at.max(1) as f64;
+        let slowdown = 1.0 + self.spec.choke * (load - 1.0).max(0.0);
+        self.spec.cores * self.spec.speed * self.warm_fraction / (self.faults.slow.max(1.0) * slowdown)
     }
 
-    /// Work done in a nanosecond for each request in work.
-    fn rate(&self) -> f64 {
+    /// Returns the work done per nanosecond for each running request.
+    fn rate_per_request(&self) -> f64 {
         if self.faults.hung {
             return 0.0;
         }
         self.capacity() / (self.running.len() as f64).max(self.spec.cores)
     }
 
-    /// Whether a further connection is taken; each one taken ends with [`Server::closed`].
+    /// Returns whether the server accepts a further connection. Each accepted one ends with
+    /// [`Server::connection_closed`].
     pub fn open_connection(&mut self) -> bool {
-        let taken = self.open < self.spec.connections;
-        self.open += usize::from(taken);
-        taken
+        let accepted = self.open_connections < self.spec.connections;
+        self.open_connections += usize::from(accepted);
+        accepted
     }
 
-    /// A connection has ended.
+    /// Records that a connection has ended.
     pub fn connection_closed(&mut self) {
-        self.open = self.open.saturating_sub(1);
+        self.open_connections = self.open_connections.saturating_sub(1);
     }
 
-    /// A request has arrived whole.
+    /// Handles a request that has arrived completely.
     pub fn receive_request(&mut self, now: Nanos, arrival: Arrival, out: &mut Vec<Completion>) {
         self.advance(now, out);
-        let Arrival { job, class, work, expires, new_connection: fresh, notified_of_start: told } = arrival;
-        if matches!(self.life, ServerState::Down | ServerState::Vanished) {
-            let reply = if self.life == ServerState::Down { Reply::Reset } else { Reply::Silence };
+        let Arrival { job, class, work, expires, new_connection, notified_of_start } = arrival;
+        if matches!(self.state, ServerState::Down | ServerState::Vanished) {
+            let reply = if self.state == ServerState::Down { Reply::Reset } else { Reply::Silence };
             out.push(Completion { job, reply, executed: false });
             return;
         }
-        let work = work as f64 + if fresh { self.spec.connect_ms * MS as f64 } else { 0.0 };
-        if self.press(now, work, told) {
-            return self.fall(out, job);
+        let work = work as f64 + if new_connection { self.spec.connect_ms * MS as f64 } else { 0.0 };
+        if self.overloads(now, work, notified_of_start) {
+            return self.crash(out, job);
         }
         match self.faults.turn_away {
-            Some((of, after)) if of == class => self.turned.push(Reverse((now + after, job))),
-            _ if self.life == ServerState::Draining
+            Some((rejected, delay)) if rejected == class => self.rejections.push(Reverse((now + delay, job))),
+            _ if self.state == ServerState::Draining
                 || self.jobs.len() >= self.spec.slots + self.spec.queue =>
             {
                 out.push(Completion { job, reply: Reply::TurnedAway, executed: false });
             }
             _ => {
-                self.jobs.insert(job, Job { left: work.max(1.0), expires, ran: false });
-                self.waiting.push_back(job);
-                self.fill(out);
+                self.jobs.insert(job, Job { remaining_work: work.max(1.0), expires, executed: false });
+                self.queue.push_back(job);
+                self.start_queued(out);
             }
         }
     }
 
-    /// Whoever sent this attempt no longer waits for it.
+    /// Handles an attempt whose sender no longer waits for it.
     pub fn attempt_abandoned(&mut self, now: Nanos, job: u64, out: &mut Vec<Completion>) {
         self.advance(now, out);
-        let Some(held) = self.jobs.get(&job) else { return };
+        let Some(pending) = self.jobs.get(&job) else { return };
         let stops = match self.spec.cancels {
             CancelScope::Nothing => false,
-            CancelScope::Waiting => !held.ran,
+            CancelScope::Waiting => !pending.executed,
             CancelScope::All => true,
         };
         if stops {
-            let ran = held.ran;
+            let executed = pending.executed;
             self.drop_job(job);
-            out.push(Completion { job, reply: Reply::Silence, executed: ran });
-            self.fill(out);
+            out.push(Completion { job, reply: Reply::Silence, executed });
+            self.start_queued(out);
         }
     }
 
     fn drop_job(&mut self, job: u64) {
         self.jobs.remove(&job);
         self.running.retain(|&other| other != job);
-        self.waiting.retain(|&other| other != job);
+        self.queue.retain(|&other| other != job);
     }
 
-    /// Whether the work sent to it while cold is more than it bears.
-    fn press(&mut self, now: Nanos, work: f64, told: bool) -> bool {
-        if self.warm >= 1.0 {
+    /// Records work that arrives while the server is cold. Returns whether the server crashes under it.
+    fn overloads(&mut self, now: Nanos, work: f64, notified_of_start: bool) -> bool {
+        if self.warm_fraction >= 1.0 {
             return false;
         }
         let window = millis(self.spec.fall_ms);
-        self.sent.push_back((now, work, told));
-        while self.sent.front().is_some_and(|&(at, ..)| at + window < now) {
-            self.sent.pop_front();
+        self.cold_arrivals.push_back((now, work, notified_of_start));
+        while self.cold_arrivals.front().is_some_and(|&(at, ..)| at + window < now) {
+            self.cold_arrivals.pop_front();
         }
-        let sum = |only_told: bool| -> f64 {
-            self.sent.iter().filter(|&&(_, _, told)| told || !only_told).map(|&(_, work, _)| work).sum()
+        let sum = |only_notified: bool| -> f64 {
+            self.cold_arrivals
+                .iter()
+                .filter(|&&(.., notified)| notified || !only_notified)
+                .map(|&(_, work, _)| work)
+                .sum()
         };
-        let bears = self.spec.fall_multiple * self.spec.cores * self.spec.speed * self.warm * window as f64;
-        let load = sum(false) / bears.max(1.0);
+        let tolerated =
+            self.spec.fall_multiple * self.spec.cores * self.spec.speed * self.warm_fraction * window as f64;
+        let load = sum(false) / tolerated.max(1.0);
         if load > 1.0 {
-            self.fallen = Some(OverloadCrash { at: now, notified_share: sum(true) / sum(false), load });
+            self.overload_crash =
+                Some(OverloadCrash { at: now, notified_share: sum(true) / sum(false), load });
         }
         load > 1.0
     }
 
-    fn fall(&mut self, out: &mut Vec<Completion>, last: u64) {
-        out.push(Completion { job: last, reply: Reply::Reset, executed: false });
+    fn crash(&mut self, out: &mut Vec<Completion>, job: u64) {
+        out.push(Completion { job, reply: Reply::Reset, executed: false });
         self.end(ServerState::Down, out);
     }
 
-    /// Ends the process or the machine; all that it holds is lost.
-    fn end(&mut self, life: ServerState, out: &mut Vec<Completion>) {
-        let reply = if life == ServerState::Down { Reply::Reset } else { Reply::Silence };
-        for (job, held) in std::mem::take(&mut self.jobs) {
-            out.push(Completion { job, reply, executed: held.ran });
+    /// Ends the process or the machine, which loses all pending requests.
+    fn end(&mut self, state: ServerState, out: &mut Vec<Completion>) {
+        let reply = if state == ServerState::Down { Reply::Reset } else { Reply::Silence };
+        for (job, pending) in std::mem::take(&mut self.jobs) {
+            out.push(Completion { job, reply, executed: pending.executed });
         }
-        for Reverse((_, job)) in std::mem::take(&mut self.turned) {
+        for Reverse((_, job)) in std::mem::take(&mut self.rejections) {
             out.push(Completion { job, reply, executed: false });
         }
         self.running.clear();
-        self.waiting.clear();
-        self.open = 0;
-        self.life = life;
+        self.queue.clear();
+        self.open_connections = 0;
+        self.state = state;
     }
 
-    /// Changes whether it takes part. One that starts is cold; one that fell over stays down.
-    pub fn set_state(&mut self, now: Nanos, life: ServerState, out: &mut Vec<Completion>) {
+    /// Changes the state of the server. A server that starts is cold; one that crashed while cold stays down.
+    pub fn set_state(&mut self, now: Nanos, state: ServerState, out: &mut Vec<Completion>) {
         self.advance(now, out);
-        let was_off = matches!(self.life, ServerState::Down | ServerState::Vanished);
-        match life {
-            ServerState::Up if self.fallen.is_some() => {}
-            ServerState::Up if was_off => {
-                self.warm = self.spec.cold_share;
-                self.sent.clear();
-                self.life = life;
+        let was_stopped = matches!(self.state, ServerState::Down | ServerState::Vanished);
+        match state {
+            ServerState::Up if self.overload_crash.is_some() => {}
+            ServerState::Up if was_stopped => {
+                self.warm_fraction = self.spec.cold_share;
+                self.cold_arrivals.clear();
+                self.state = state;
             }
-            ServerState::Up | ServerState::Draining if !was_off => self.life = life,
+            ServerState::Up | ServerState::Draining if !was_stopped => self.state = state,
             ServerState::Up | ServerState::Draining => {}
-            ServerState::Down | ServerState::Vanished => self.end(life, out),
+            ServerState::Down | ServerState::Vanished => self.end(state, out),
         }
     }
 
-    /// What goes wrong from now on.
+    /// Replaces the faults of the server.
     pub fn set_faults(&mut self, now: Nanos, faults: ServerFaults, out: &mut Vec<Completion>) {
         self.advance(now, out);
         self.faults = faults;
     }
 
-    /// What goes wrong at present.
+    /// Returns the current faults.
     pub fn faults(&self) -> &ServerFaults {
         &self.faults
     }
 
-    fn fill(&mut self, out: &mut Vec<Completion>) {
+    fn start_queued(&mut self, out: &mut Vec<Completion>) {
         while self.running.len() < self.spec.slots {
-            let Some(job) = self.waiting.pop_front() else { return };
-            let Some(held) = self.jobs.get_mut(&job) else { continue };
-            if self.spec.drops_expired && held.expires <= self.at {
+            let Some(job) = self.queue.pop_front() else { return };
+            let Some(pending) = self.jobs.get_mut(&job) else { continue };
+            if self.spec.drops_expired && pending.expires <= self.advanced_to {
                 self.jobs.remove(&job);
                 out.push(Completion { job, reply: Reply::TurnedAway, executed: false });
                 continue;
             }
-            held.ran = true;
+            pending.executed = true;
             self.running.push(job);
         }
     }
 
-    /// When something happens next if nothing reaches it before.
+    /// Returns when the next event is due if no call changes the server before.
     pub fn next_due(&self) -> Option<Nanos> {
-        let turned = self.turned.peek().map(|&Reverse((at, _))| at);
-        let (least, rate) = (self.least(), self.rate());
-        let work = least.filter(|_| rate > 0.0).map(|left| {
-            let due = self.at + (left / rate).ceil().max(1.0) as Nanos;
-            if self.warm < 1.0 {
-                due.min(self.at + WARM_STEP)
+        let rejection_due = self.rejections.peek().map(|&Reverse((at, _))| at);
+        let (remaining, rate) = (self.min_remaining_work(), self.rate_per_request());
+        let work = remaining.filter(|_| rate > 0.0).map(|remaining| {
+            let due = self.advanced_to + (remaining / rate).ceil().max(1.0) as Nanos;
+            if self.warm_fraction < 1.0 {
+                due.min(self.advanced_to + MAX_WARM_UP_STEP)
             } else {
                 due
             }
         });
-        turned.into_iter().chain(work).min()
+        rejection_due.into_iter().chain(work).min()
     }
 
-    fn least(&self) -> Option<f64> {
-        let left = self.running.iter().filter_map(|job| self.jobs.get(job)).map(|held| held.left);
-        left.min_by(f64::total_cmp)
+    fn min_remaining_work(&self) -> Option<f64> {
+        let remaining =
+            self.running.iter().filter_map(|job| self.jobs.get(job)).map(|pending| pending.remaining_work);
+        remaining.min_by(f64::total_cmp)
     }
 
-    /// Lets time pass; what came to its end is appended.
+    /// Advances the time; appends the attempts that end to `out`.
     pub fn advance(&mut self, now: Nanos, out: &mut Vec<Completion>) {
-        while let Some(&Reverse((at, job))) = self.turned.peek().filter(|&&Reverse((at, _))| at <= now) {
-            self.turned.pop();
+        while let Some(&Reverse((at, job))) = self.rejections.peek().filter(|&&Reverse((at, _))| at <= now) {
+            self.rejections.pop();
             let _ = at;
             out.push(Completion { job, reply: Reply::TurnedAway, executed: false });
         }
-        while self.at < now {
-            let (rate, least) = (self.rate(), self.least());
+        while self.advanced_to < now {
+            let (rate, remaining) = (self.rate_per_request(), self.min_remaining_work());
             let mut until = now;
-            if let Some(left) = least.filter(|_| rate > 0.0) {
-                until = until.min(self.at + (left / rate).ceil().max(1.0) as Nanos);
+            if let Some(remaining) = remaining.filter(|_| rate > 0.0) {
+                until = until.min(self.advanced_to + (remaining / rate).ceil().max(1.0) as Nanos);
             }
-            if self.warm < 1.0 {
-                until = until.min(self.at + WARM_STEP);
+            if self.warm_fraction < 1.0 {
+                until = until.min(self.advanced_to + MAX_WARM_UP_STEP);
             }
-            let passed = (until - self.at) as f64;
-            let each = passed * rate;
+            let elapsed = (until - self.advanced_to) as f64;
+            let per_request = elapsed * rate;
             for job in &self.running {
-                if let Some(held) = self.jobs.get_mut(job) {
-                    held.left -= each;
+                if let Some(pending) = self.jobs.get_mut(job) {
+                    pending.remaining_work -= per_request;
                 }
             }
-            let work = each * self.running.len() as f64;
-            self.busy += work;
-            self.warm_up(passed, work);
-            self.at = until;
-            self.finish(out);
+            let work = per_request * self.running.len() as f64;
+            self.completed_work += work;
+            self.warm_up(elapsed, work);
+            self.advanced_to = until;
+            self.complete_finished(out);
         }
     }
 
-    fn warm_up(&mut self, passed: f64, work: f64) {
-        if self.warm >= 1.0 || matches!(self.life, ServerState::Down | ServerState::Vanished) {
+    fn warm_up(&mut self, elapsed: f64, work: f64) {
+        if self.warm_fraction >= 1.0 || matches!(self.state, ServerState::Down | ServerState::Vanished) {
             return;
         }
         let ramp = (self.spec.ramp_s * SECOND as f64).max(1.0);
-        let full = ramp * self.spec.cores * self.spec.speed; // work of a whole ramp at full speed
-        let by_work = if self.spec.warm_by == WarmUpMode::Work { 2.0 * work / full } else { 0.0 };
-        self.warm += (1.0 - self.spec.cold_share) * (passed / ramp).max(by_work);
-        if self.warm >= 1.0 {
-            self.warm = 1.0;
-            self.sent.clear();
+        let ramp_work = ramp * self.spec.cores * self.spec.speed; // work done in a whole ramp at full speed
+        let by_work = if self.spec.warm_by == WarmUpMode::Work { 2.0 * work / ramp_work } else { 0.0 };
+        self.warm_fraction += (1.0 - self.spec.cold_share) * (elapsed / ramp).max(by_work);
+        if self.warm_fraction >= 1.0 {
+            self.warm_fraction = 1.0;
+            self.cold_arrivals.clear();
         }
     }
 
-    fn finish(&mut self, out: &mut Vec<Completion>) {
+    fn complete_finished(&mut self, out: &mut Vec<Completion>) {
         let jobs = &self.jobs;
         let mut ended = Vec::new();
         self.running.retain(|job| {
-            let over = jobs.get(job).is_none_or(|held| held.left <= 0.5);
-            if over {
+            let finished = jobs.get(job).is_none_or(|pending| pending.remaining_work <= 0.5);
+            if finished {
                 ended.push(*job);
             }
-            !over
+            !finished
         });
         for job in ended {
             self.jobs.remove(&job);
-            let reply = self.fate();
+            let reply = self.sample_reply();
             out.push(Completion { job, reply, executed: true });
         }
-        self.fill(out);
+        self.start_queued(out);
     }
 
-    /// How an answer ends that is ready.
-    fn fate(&mut self) -> Reply {
+    /// Samples the reply to a request that is finished.
+    fn sample_reply(&mut self) -> Reply {
         let mut chance: f64 = self.rng.random();
         let faults = &self.faults;
         for (share, reply) in [
