--- a/crates/config/src/distribution.rs
+++ b/crates/config/src/distribution.rs
@@ -1,52 +1,52 @@
-//! The table of the distribution of configuration.
+//! The `[fleet.configuration]` table: how a node takes part in the distribution of configuration.
 
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Kilobytes a second that a node fetches while it catches up, where the table does not say.
-pub const CATCH_UP_KB_S: u32 = 2_000;
-/// The least that is possible: a document of 4 MB takes 40 s.
+/// Default limit in kilobytes per second on what a node fetches while it catches up.
+pub const DEFAULT_CATCH_UP_KB_S: u32 = 2_000;
+/// Lowest accepted limit, in kilobytes per second. At this rate a document of 4 MB takes 40 s.
 pub const MIN_CATCH_UP_KB_S: u32 = 100;
-/// The most.
+/// Highest accepted limit, in kilobytes per second.
 pub const MAX_CATCH_UP_KB_S: u32 = 100_000;
 
-/// Distribution of configuration.
+/// Settings for the distribution of configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Configuration {
-    /// Kilobytes a second that this node fetches while it catches up after a start.
+    /// Limit in kilobytes per second on what this node fetches while it catches up after a start.
     pub catch_up_kb_s: u32,
 }
 
 impl Default for Configuration {
     fn default() -> Self {
-        Configuration { catch_up_kb_s: CATCH_UP_KB_S }
+        Configuration { catch_up_kb_s: DEFAULT_CATCH_UP_KB_S }
     }
 }
 
-/// Why a table of the distribution cannot be kept to.
+/// An invalid combination or value in the `[fleet.configuration]` table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum ConfigurationFault {
-    /// Revisions are announced by the log.
-    #[error("configuration: needs [fleet.log], which announces revisions")]
+pub enum ConfigurationError {
+    /// The replicated log, which announces revisions, is not configured.
+    #[error("configuration: requires [fleet.log], which announces revisions")]
     NoLog,
-    /// Too slow to catch up, or no bound at all.
-    #[error("configuration.catch_up_kb_s: {0}; {MIN_CATCH_UP_KB_S} to {MAX_CATCH_UP_KB_S} are possible")]
-    Pace(u32),
+    /// The catch-up rate is too low to catch up, or so high that it limits nothing.
+    #[error("configuration.catch_up_kb_s: expected {MIN_CATCH_UP_KB_S} to {MAX_CATCH_UP_KB_S}, got {0}")]
+    CatchUpRate(u32),
 }
 
 impl Configuration {
-    /// The pace in bytes a second.
+    /// The catch-up rate in bytes per second.
     pub fn catch_up_bytes_s(&self) -> u64 {
         u64::from(self.catch_up_kb_s) * 1_000
     }
 
-    pub(crate) fn check(&self, has_log: bool) -> Result<(), ConfigurationFault> {
+    pub(crate) fn validate(&self, has_log: bool) -> Result<(), ConfigurationError> {
         if !has_log {
-            return Err(ConfigurationFault::NoLog);
+            return Err(ConfigurationError::NoLog);
         }
         if !(MIN_CATCH_UP_KB_S..=MAX_CATCH_UP_KB_S).contains(&self.catch_up_kb_s) {
-            return Err(ConfigurationFault::Pace(self.catch_up_kb_s));
+            return Err(ConfigurationError::CatchUpRate(self.catch_up_kb_s));
         }
         Ok(())
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,15 +1,14 @@
-//! The product's own configuration: `merlinfold.toml`, every key of which stands with its meaning in
-//! `deploy/merlinfold.toml`.
+//! The product's own configuration, `merlinfold.toml`. `deploy/merlinfold.toml` lists every key with its meaning.
 //!
-//! What a platform tells a node (where to listen, which classes there are) comes in the platform's own
-//! JSON and is not repeated here. A key that is not known is a fault: a misspelt one must not pass for
-//! one that is set.
+//! What the platform tells a node (the address to listen on, the request classes) arrives in the platform's own JSON
+//! file and is not repeated here. An unknown key is an error, so that a misspelt key is not mistaken for one that is
+//! set.
 //!
 //! ```
 //! let config = merlinfold_config::parse::<merlinfold_config::Config>("[log]\nformat = \"json\"\n").unwrap();
 //! assert_eq!(config.log.format, merlinfold_config::Format::Json);
-//! let fault = merlinfold_config::parse::<merlinfold_config::Config>("[log]\nfromat = \"json\"\n").unwrap_err();
-//! assert_eq!((fault.line, fault.field.as_str()), (Some(2), "log.fromat"));
+//! let error = merlinfold_config::parse::<merlinfold_config::Config>("[log]\nfromat = \"json\"\n").unwrap_err();
+//! assert_eq!((error.line, error.field.as_str()), (Some(2), "log.fromat"));
 //! ```
 
 mod distribution;
@@ -24,39 +23,39 @@
 use thiserror::Error;
 use tracing_subscriber::filter::{LevelFilter, Targets};
 
-pub use distribution::{Configuration, ConfigurationFault};
+pub use distribution::{Configuration, ConfigurationError};
 
-/// All of `merlinfold.toml`.
+/// The whole of `merlinfold.toml`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// What is logged, and how.
+    /// Which events are logged and in which format.
     pub log: Log,
-    /// The fleet that the node belongs to; none: it knows nobody.
+    /// The fleet that the node belongs to. `None`: the node runs without a fleet.
     pub fleet: Option<Fleet>,
 }
 
-/// Bytes of a name at most, as it travels between nodes.
-pub const WORD_MOST: usize = 64;
+/// Maximum length of a [`Name`] in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// A name that travels between nodes: neither empty nor over [`WORD_MOST`] bytes.
+/// A name that is sent between nodes, of 1 to [`MAX_NAME_BYTES`] bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
-pub struct Word(String);
+pub struct Name(String);
 
-impl TryFrom<String> for Word {
+impl TryFrom<String> for Name {
     type Error = String;
 
-    fn try_from(word: String) -> Result<Self, String> {
-        match word.len() {
-            1..=WORD_MOST => Ok(Word(word)),
-            length => Err(format!("{length} bytes; 1 to {WORD_MOST} are possible")),
+    fn try_from(name: String) -> Result<Self, String> {
+        match name.len() {
+            1..=MAX_NAME_BYTES => Ok(Name(name)),
+            length => Err(format!("expected 1 to {MAX_NAME_BYTES} bytes, got {length}")),
         }
     }
 }
 
-impl Word {
-    /// It.
+impl Name {
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -66,108 +65,111 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "FleetTable")]
 pub struct Fleet {
-    /// Which fleet: nodes of others are not heard.
-    pub cluster: Word,
-    /// Where this process hears datagrams.
+    /// Name of the fleet. Datagrams from nodes of other fleets are discarded.
+    pub cluster: Name,
+    /// Local address at which this process receives datagrams.
     pub listen: SocketAddr,
-    /// Where others reach it, if that is elsewhere.
+    /// Address at which other nodes reach this one, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Zone that the node runs in.
-    pub zone: Word,
-    /// Machine that it runs on.
-    pub machine: Word,
-    /// Where others may be found.
+    /// Zone in which the node runs.
+    pub zone: Name,
+    /// Machine on which the node runs.
+    pub machine: Name,
+    /// Addresses of nodes through which this one joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Folder that lasts longer than the process; none: the node finds the fleet by its seeds alone.
+    /// Folder that outlives the process. `None`: the node finds the fleet through its seeds alone.
     pub folder: Option<PathBuf>,
-    /// The agreed log; none: nothing is agreed on.
-    pub log: Option<AgreedLog>,
-    /// Distribution of configuration; none: a change reaches this node by its file alone.
+    /// The replicated log. `None`: the node takes no part in one.
+    pub log: Option<ReplicatedLog>,
+    /// Distribution of configuration. `None`: only this node's file changes its configuration.
     pub configuration: Option<Configuration>,
 }
 
-/// Voters of the agreed log at most.
-pub const VOTERS_MOST: usize = 7;
-/// Candidates for its seats at most.
-pub const CANDIDATES_MOST: usize = 15;
+/// Maximum number of voters of the replicated log.
+pub const MAX_VOTERS: usize = 7;
+/// Maximum number of candidates for the voters' seats.
+pub const MAX_CANDIDATES: usize = 15;
 
-/// The agreed log, the same at every node.
+/// Settings of the replicated log; they are the same at every node.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct AgreedLog {
-    /// Names of the nodes that may vote.
-    pub candidates: Vec<Word>,
-    /// How many of them vote.
+pub struct ReplicatedLog {
+    /// Names of the nodes that may become voters.
+    pub candidates: Vec<Name>,
+    /// Number of candidates that vote at a time: 3, 5 or 7.
     pub voters: usize,
-    /// What survives.
+    /// Which failures the log survives.
     #[serde(default)]
     pub durability: Durability,
 }
 
-/// What of the agreed log survives which failures.
+/// Which failures the content of the replicated log survives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Durability {
-    /// Everything, while a majority of the voters is up; when most are lost at once, what others still hold is
-    /// taken over as far as it goes.
+    /// Everything survives while a majority of the voters is running. If a majority is lost at once, the log is
+    /// recovered as far as the remaining nodes still store it.
     #[default]
     None,
-    /// Everything, also when all end at once, while a majority of the voters' disks is well.
+    /// Everything survives, even if all nodes end at once, while a majority of the voters' disks is intact.
     Disk,
 }
 
-/// Why a table of the agreed log cannot be kept to.
+/// An invalid combination or value in the `[fleet.log]` table.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum LogFault {
-    /// A group of another size has no majority that is worth its voters.
-    #[error("log.voters: {0}; 3, 5 or 7 are possible")]
-    Voters(usize),
-    /// Names stand for nodes.
-    #[error("log.candidates: {0} stands there twice; name each node once")]
-    Twice(String),
-    /// Too few to fill the seats, or too many to ask.
-    #[error("log.candidates: {0}; name as many as voters, and {CANDIDATES_MOST} at most")]
-    Candidates(usize),
-    /// More is promised than can be kept.
+pub enum ReplicatedLogError {
+    /// The number of voters is not supported: an even number adds a voter without tolerating another failure.
+    #[error("log.voters: expected 3, 5 or 7 voters, got {0}")]
+    VoterCount(usize),
+    /// The same node is listed twice as a candidate.
+    #[error("log.candidates: {0} is listed twice; list each node once")]
+    DuplicateCandidate(String),
+    /// There are fewer candidates than seats, or more than can be contacted.
     #[error(
-        "log.durability: \"disk\" needs `folder`, one that lasts longer than the process; without one only \"none\" can \
-         be kept"
+        "log.candidates: {0} nodes listed; list at least as many as voters, and at most {MAX_CANDIDATES}"
     )]
-    NoDisk,
+    CandidateCount(usize),
+    /// Durability on disk is requested without a folder to write to.
+    #[error(
+        "log.durability: \"disk\" needs `folder`, which must outlive the process; without a folder only \"none\" is \
+         possible"
+    )]
+    NoFolder,
 }
 
-impl AgreedLog {
-    fn check(&self, folder: Option<&PathBuf>) -> Result<(), LogFault> {
-        if !matches!(self.voters, 3 | 5 | VOTERS_MOST) {
-            return Err(LogFault::Voters(self.voters));
+impl ReplicatedLog {
+    fn validate(&self, folder: Option<&PathBuf>) -> Result<(), ReplicatedLogError> {
+        if !matches!(self.voters, 3 | 5 | MAX_VOTERS) {
+            return Err(ReplicatedLogError::VoterCount(self.voters));
         }
-        let mut names: Vec<&str> = self.candidates.iter().map(Word::as_str).collect();
+        let mut names: Vec<&str> = self.candidates.iter().map(Name::as_str).collect();
         names.sort_unstable();
-        if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(LogFault::Twice(twice[0].to_owned()));
+        if let Some(duplicate) = names.windows(2).find(|pair| pair[0] == pair[1]) {
+            return Err(ReplicatedLogError::DuplicateCandidate(duplicate[0].to_owned()));
         }
-        if !(self.voters..=CANDIDATES_MOST).contains(&names.len()) {
-            return Err(LogFault::Candidates(names.len()));
+        if !(self.voters..=MAX_CANDIDATES).contains(&names.len()) {
+            return Err(ReplicatedLogError::CandidateCount(names.len()));
         }
         if self.durability == Durability::Disk && folder.is_none() {
-            return Err(LogFault::NoDisk);
+            return Err(ReplicatedLogError::NoFolder);
         }
         Ok(())
     }
 }
 
+/// The `[fleet]` table as it is written, before its values are validated together.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FleetTable {
-    cluster: Word,
+    cluster: Name,
     listen: SocketAddr,
     advertise: Option<SocketAddr>,
-    zone: Word,
-    machine: Word,
+    zone: Name,
+    machine: Name,
     #[serde(default)]
     seeds: Vec<SocketAddr>,
     folder: Option<PathBuf>,
-    log: Option<AgreedLog>,
+    log: Option<ReplicatedLog>,
     configuration: Option<Configuration>,
 }
 
@@ -178,58 +180,63 @@
         let FleetTable { cluster, listen, advertise, zone, machine, seeds, folder, log, configuration } =
             table;
         if advertise.unwrap_or(listen).ip().is_unspecified() {
-            return Err("advertise: needed where listen names no address that others reach".to_owned());
+            return Err(
+                "advertise: required when listen is an unspecified address, which other nodes cannot reach"
+                    .to_owned(),
+            );
         }
-        if advertise.is_some_and(|at| at.port() == 0) || seeds.iter().any(|at| at.port() == 0) {
-            return Err("advertise, seeds: port 0 reaches nobody".to_owned());
+        if advertise.is_some_and(|address| address.port() == 0)
+            || seeds.iter().any(|address| address.port() == 0)
+        {
+            return Err("advertise, seeds: expected a port from 1 to 65535, got 0".to_owned());
         }
         if let Some(log) = &log {
-            log.check(folder.as_ref()).map_err(|fault| fault.to_string())?;
+            log.validate(folder.as_ref()).map_err(|error| error.to_string())?;
         }
         if let Some(configuration) = &configuration {
-            configuration.check(log.is_some()).map_err(|fault| fault.to_string())?;
+            configuration.validate(log.is_some()).map_err(|error| error.to_string())?;
         }
         Ok(Fleet { cluster, listen, advertise, zone, machine, seeds, folder, log, configuration })
     }
 }
 
-/// What is logged, and how.
+/// Which events are logged and in which format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// Form of a line.
+    /// Format of a log line.
     pub format: Format,
-    /// Least level that is written.
+    /// Lowest level that is logged.
     pub level: Level,
-    /// The same for single modules, by path; the longest path that fits a line decides.
+    /// Lowest level for single modules, by module path. The longest path that matches an event applies.
     pub modules: BTreeMap<String, Level>,
 }
 
-/// Form of a line of the log.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One object a line, for collectors.
+    /// One JSON object per line, for log collectors.
     Json,
 }
 
-/// How much a line matters.
+/// Severity of a logged event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Nothing is written.
+    /// Nothing is logged.
     Off,
-    /// Faults that need a person.
+    /// Errors that require an operator.
     Error,
-    /// Faults that the program lives with.
+    /// Errors from which the program recovers.
     Warn,
-    /// The life of the program and its counts.
+    /// Start, stop and other changes of state, and periodic statistics.
     #[default]
     Info,
-    /// Single events.
+    /// Single events, such as one request.
     Debug,
     /// Everything.
     Trace,
@@ -249,25 +256,27 @@
 }
 
 impl Log {
-    /// What lets a line through.
+    /// Returns the filter that passes the events to be logged.
     pub fn targets(&self) -> Targets {
         let modules = self.modules.iter().map(|(path, level)| (path.clone(), LevelFilter::from(*level)));
         Targets::new().with_default(LevelFilter::from(self.level)).with_targets(modules)
     }
 }
 
-/// Why a text is not what it should be.
+/// Why a TOML text could not be read, and where.
+///
+/// It is displayed as `line: field: message`, without the parts that are not known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Line, counted from 1; none where the fault has no place (a missing table).
+pub struct ParseError {
+    /// Line, counted from 1. `None`: the error has no position, as for a missing table.
     pub line: Option<usize>,
-    /// Path of the field, dots between its parts; empty where the text cannot be read at all.
+    /// Path of the field, its parts separated by dots. It is empty if the text is not valid TOML.
     pub field: String,
-    /// What is wrong with it.
-    pub what: String,
+    /// What is wrong.
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         if let Some(line) = self.line {
             write!(f, "{line}: ")?;
@@ -275,22 +284,23 @@
         if !self.field.is_empty() {
             write!(f, "{}: ", self.field)?;
         }
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ParseError {}
 
-/// Reads a TOML text. Errors name line and field.
-pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Fault> {
-    let fault = |error: &toml::de::Error, path: String| {
-        let at = error.span().map(|span| span.start.min(text.len()));
-        let line = at.map(|at| 1 + text.as_bytes()[..at].iter().filter(|&&b| b == b'\n').count());
+/// Deserializes a value from a TOML text. Errors name the line and the field.
+pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ParseError> {
+    let parse_error = |error: &toml::de::Error, path: String| {
+        let offset = error.span().map(|span| span.start.min(text.len()));
+        let line = offset.map(|offset| 1 + text.as_bytes()[..offset].iter().filter(|&&b| b == b'\n').count());
         let field = if path == "." { String::new() } else { path };
-        Fault { line, field, what: error.message().replace('\n', "; ") }
+        ParseError { line, field, message: error.message().replace('\n', "; ") }
     };
-    let from = toml::Deserializer::parse(text).map_err(|error| fault(&error, String::new()))?;
-    serde_path_to_error::deserialize(from).map_err(|error| fault(error.inner(), error.path().to_string()))
+    let deserializer = toml::Deserializer::parse(text).map_err(|error| parse_error(&error, String::new()))?;
+    serde_path_to_error::deserialize(deserializer)
+        .map_err(|error| parse_error(error.inner(), error.path().to_string()))
 }
 
 #[cfg(test)]
@@ -300,25 +310,25 @@
 
     const EXAMPLE: &str = include_str!("../../../deploy/merlinfold.toml");
 
-    /// Guards the example: it says what holds anyway, so that nobody is surprised by leaving it out,
-    /// and names every key.
+    /// The example must name every key, and give the default where a key has one, so that leaving a key out changes
+    /// nothing.
     #[test]
     fn the_commented_example_is_valid_and_names_every_key_with_its_default() {
-        let plain = EXAMPLE.lines().map(|line| line.strip_prefix("#= ").unwrap_or(line));
-        let config: Config = parse(&plain.collect::<Vec<_>>().join("\n")).unwrap();
+        let uncommented = EXAMPLE.lines().map(|line| line.strip_prefix("#= ").unwrap_or(line));
+        let config: Config = parse(&uncommented.collect::<Vec<_>>().join("\n")).unwrap();
         let modules = BTreeMap::from([("merlinfold_node::upstream".to_owned(), Level::Debug)]);
-        let word = |word: &str| Word::try_from(word.to_owned()).unwrap();
-        let at = |at: &str| at.parse().unwrap();
+        let name = |name: &str| Name::try_from(name.to_owned()).unwrap();
+        let address = |address: &str| address.parse().unwrap();
         let fleet = Fleet {
-            cluster: word("cpt-guides"),
-            listen: at("0.0.0.0:7946"),
-            advertise: Some(at("10.0.0.4:7946")),
-            zone: word("a"),
-            machine: word("rack-3"),
-            seeds: vec![at("10.0.0.5:7946"), at("10.0.1.5:7946")],
+            cluster: name("cpt-guides"),
+            listen: address("0.0.0.0:7946"),
+            advertise: Some(address("10.0.0.4:7946")),
+            zone: name("a"),
+            machine: name("rack-3"),
+            seeds: vec![address("10.0.0.5:7946"), address("10.0.1.5:7946")],
             folder: Some("/var/lib/merlinfold".into()),
-            log: Some(AgreedLog {
-                candidates: ["n0", "n1", "n2", "n3", "n4"].map(word).to_vec(),
+            log: Some(ReplicatedLog {
+                candidates: ["n0", "n1", "n2", "n3", "n4"].map(name).to_vec(),
                 voters: 3,
                 durability: Durability::None,
             }),
@@ -326,18 +336,18 @@
         };
         assert_eq!(config, Config { log: Log { modules, ..Log::default() }, fleet: Some(fleet) });
         assert_eq!(parse::<Config>(EXAMPLE).unwrap(), Config::default());
-        let of_fleet = ["cluster", "listen", "advertise", "zone", "machine", "seeds", "folder"];
-        let of_log = ["[fleet.log]", "candidates", "voters", "durability"];
-        let of_configuration = ["[fleet.configuration]", "catch_up_kb_s"];
-        let of_tables = of_fleet.into_iter().chain(of_log).chain(of_configuration);
-        for key in ["format", "level", "[log.modules]", "[fleet]"].into_iter().chain(of_tables) {
+        let fleet_keys = ["cluster", "listen", "advertise", "zone", "machine", "seeds", "folder"];
+        let log_keys = ["[fleet.log]", "candidates", "voters", "durability"];
+        let configuration_keys = ["[fleet.configuration]", "catch_up_kb_s"];
+        let keys = fleet_keys.into_iter().chain(log_keys).chain(configuration_keys);
+        for key in ["format", "level", "[log.modules]", "[fleet]"].into_iter().chain(keys) {
             assert!(EXAMPLE.contains(key), "{key}");
         }
     }
 
-    /// Guards promises: a configuration that promises more than can be kept is refused, by name.
+    /// A node must not start with guarantees that its settings cannot provide, such as durability without a folder.
     #[test]
-    fn a_log_that_promises_too_much_is_refused_by_name() {
+    fn log_settings_that_cannot_be_fulfilled_are_refused_with_the_field_named() {
         let table = |folder: &str, log: &str| {
             let text = format!(
                 "[fleet]\ncluster = \"c\"\nlisten = \"127.0.0.1:1\"\nzone = \"a\"\nmachine = \"m\"\n{folder}[fleet.log]\n{log}"
@@ -347,20 +357,20 @@
         let three = "candidates = [\"a\", \"b\", \"c\"]\nvoters = 3\n";
         assert!(table("", three).is_ok());
         assert!(table("folder = \"/f\"\n", &format!("{three}durability = \"disk\"\n")).is_ok());
-        for (log, says) in [
+        for (log, message) in [
             (format!("{three}durability = \"disk\"\n"), "needs `folder`"),
             ("candidates = [\"a\", \"b\", \"c\"]\nvoters = 5\n".to_owned(), "as many as voters"),
             ("candidates = [\"a\", \"b\"]\nvoters = 2\n".to_owned(), "3, 5 or 7"),
             ("candidates = [\"a\", \"b\", \"b\"]\nvoters = 3\n".to_owned(), "twice"),
             (format!("{three}[fleet.configuration]\ncatch_up_kb_s = 1\n"), "100 to 100000"),
         ] {
-            let fault = table("", &log).unwrap_err();
-            assert!(fault.to_string().contains(says), "{log}: {fault}");
+            let error = table("", &log).unwrap_err();
+            assert!(error.to_string().contains(message), "{log}: {error}");
         }
     }
 
     #[test]
-    fn a_fault_is_named_by_line_and_field() {
+    fn an_error_names_its_line_and_field() {
         for (text, line, field) in [
             ("[log]\nlevel = \"loud\"", Some(2), "log.level"),
             ("\n\nlogs = 1", Some(3), "logs"),
@@ -376,18 +386,18 @@
                 "fleet",
             ),
         ] {
-            let fault = parse::<Config>(text).unwrap_err();
-            assert_eq!((fault.line, fault.field.as_str()), (line, field), "{text}: {fault}");
-            assert!(!fault.what.is_empty());
+            let error = parse::<Config>(text).unwrap_err();
+            assert_eq!((error.line, error.field.as_str()), (line, field), "{text}: {error}");
+            assert!(!error.message.is_empty());
         }
     }
 
     proptest! {
-        /// Whatever stands in the file, reading it ends in a value or a fault with a line that exists.
+        /// Reading any text returns a value or an error whose line, if it has one, lies within the text.
         #[test]
-        fn any_text_ends_in_a_value_or_a_fault_with_a_line_that_exists(text in "[a-z\\[\\]=\" .#\n\u{e9}0-9]{0,80}") {
-            if let Err(fault) = parse::<Config>(&text) {
-                prop_assert!(fault.line.is_none_or(|line| line <= text.matches('\n').count() + 1));
+        fn any_text_gives_a_value_or_an_error_with_an_existing_line(text in "[a-z\\[\\]=\" .#\n\u{e9}0-9]{0,80}") {
+            if let Err(error) = parse::<Config>(&text) {
+                prop_assert!(error.line.is_none_or(|line| line <= text.matches('\n').count() + 1));
             }
         }
     }
--- a/crates/fault-injection/src/spec.rs
+++ b/crates/fault-injection/src/spec.rs
@@ -1,6 +1,6 @@
 //! What a trial file says.
 
-use merlinfold_config::Fault as TextFault;
+use merlinfold_config::ParseError;
 use merlinfold_simulation::{Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
@@ -308,7 +308,7 @@
 impl Trial {
     /// Reads and checks a trial. The error names line and field.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let trial: Trial = merlinfold_config::parse(text).map_err(|fault: TextFault| fault.to_string())?;
+        let trial: Trial = merlinfold_config::parse(text).map_err(|error: ParseError| error.to_string())?;
         trial.check()?;
         Ok(trial)
     }
--- a/crates/fleet/src/log/part.rs
+++ b/crates/fleet/src/log/part.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use merlinfold_config::{AgreedLog, Durability};
+use merlinfold_config::{Durability, ReplicatedLog as LogSettings};
 use merlinfold_distribution::{Announcement, LogState, ProposalError, REGISTER_KEY};
 use merlinfold_membership::Membership;
 use merlinfold_replicated_log::command::{Command, CommandId, Outcome, Refusal, Set, SET};
@@ -50,7 +50,7 @@
 
     /// With what the disk holds, where one is to be relied on.
     pub async fn start(
-        settings: &AgreedLog, (name, cluster, run): (&str, u64, u64), disk: Option<(PathBuf, Disks)>,
+        settings: &LogSettings, (name, cluster, run): (&str, u64, u64), disk: Option<(PathBuf, Disks)>,
         tell: watch::Sender<LogView>, now: Nanos,
     ) -> Self {
         let disk = disk.filter(|_| settings.durability == Durability::Disk);
