--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line: the one source of help, completions and manual.
+//! The command line; help, completions and manual are generated from it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,9 +8,13 @@
 
 /// A load-balancing node for fleets of HTTP servers, by Koole's myopic static assignment.
 ///
-/// Without a subcommand it is `merlinfold node`.
+/// Without a subcommand it runs `merlinfold node`.
 #[derive(Debug, Parser)]
-#[command(name = "merlinfold", version, after_help = "Exit codes: 0 done, 1 failed or invalid, 2 usage.")]
+#[command(
+    name = "merlinfold",
+    version,
+    after_help = "Exit codes: 0 success, 1 failure or invalid file, 2 wrong usage."
+)]
 pub struct Cli {
     #[command(subcommand)]
     pub command: Option<Command>,
@@ -18,46 +22,46 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve until SIGTERM; SIGHUP reads the platform's configuration again.
+    /// Run a node until SIGTERM; SIGHUP reloads the platform's configuration.
     ///
-    /// What the platform tells a node stands in the JSON file that BALANCER_CONFIG names.
+    /// The environment variable BALANCER_CONFIG names the JSON file with the platform's configuration of the node.
     Node {
-        /// The product's own configuration; the defaults hold without it.
+        /// The node's own configuration, merlinfold.toml; without it the defaults apply.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Say what is wrong with a configuration: file, line, field and fault.
+    /// Validate configuration files; each error names the file, the line and the field.
     ///
-    /// A name that ends in .json is read as the platform's configuration of a node, any other as
+    /// A file whose name ends in .json is read as the platform's configuration of a node, any other file as
     /// merlinfold.toml.
     Check {
-        /// What to check.
+        /// Files to validate.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Ask a running node about its fleet.
+    /// Query a running node about its fleet.
     Fleet {
         #[command(subcommand)]
-        ask: Ask,
+        query: FleetQuery,
     },
-    /// Print completions for a shell.
+    /// Print the completion script for a shell.
     Completions {
-        /// Which one.
+        /// The shell.
         shell: Shell,
     },
     /// Print the manual page, for man(1).
     Manual,
 }
 
-/// What to ask.
+/// A query about the fleet.
 #[derive(Debug, Subcommand)]
-pub enum Ask {
-    /// Who is there, as this one node sees it; another's view may differ.
+pub enum FleetQuery {
+    /// List the members as this node sees them; the view of another node may differ.
     Members {
-        /// The node's console; else the one that BALANCER_CONSOLE names.
+        /// Address of the node's console [default: the value of BALANCER_CONSOLE].
         #[arg(long, value_name = "ADDRESS")]
         console: Option<SocketAddr>,
-        /// As JSON, with the version of its form.
+        /// Print JSON, with the version of its schema.
         #[arg(long)]
         json: bool,
     },
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -1,4 +1,4 @@
-//! Where log lines go and what they look like.
+//! Log output.
 
 use std::io::stderr;
 
@@ -7,7 +7,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// Writes from now on to standard error. A log that nobody takes any more must not end the node.
+/// Starts to log to standard error. Errors of writing are ignored: a closed log pipe must not end the node.
 pub fn start(log: &Log) {
     let layer = tracing_subscriber::fmt::layer().with_writer(stderr).log_internal_errors(false);
     let layer = match log.format {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `merlinfold` command. Without arguments it is the node of the platform.
+//! The `merlinfold` command. Without arguments it runs a node, as the platform starts it.
 
 mod check;
 mod command;
@@ -10,26 +10,28 @@
 
 use clap::{CommandFactory, Parser};
 
-use crate::command::{Ask, Cli, Command};
+use crate::command::{Cli, Command, FleetQuery};
 
 fn main() -> ExitCode {
-    let ended = match Cli::parse().command {
+    let result = match Cli::parse().command {
         None => serve::node(None),
         Some(Command::Node { config }) => serve::node(config.as_deref()),
         Some(Command::Check { files }) => check::files(&files),
-        Some(Command::Fleet { ask: Ask::Members { console, json } }) => fleet::members(console, json),
+        Some(Command::Fleet { query: FleetQuery::Members { console, json } }) => {
+            fleet::members(console, json)
+        }
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Cli::command(), "merlinfold", &mut std::io::stdout());
             Ok(())
         }
         Some(Command::Manual) => clap_mangen::Man::new(Cli::command())
             .render(&mut std::io::stdout())
-            .map_err(|error| format!("cannot write: {error}")),
+            .map_err(|error| format!("cannot write the manual page: {error}")),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("merlinfold: {fault}");
+        Err(error) => {
+            eprintln!("merlinfold: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,9 +4,9 @@
 
 use crate::{check, log};
 
-/// Serves until SIGTERM, with the product's configuration in `product` or else its defaults.
-pub fn node(product: Option<&Path>) -> Result<(), String> {
-    let config = product.map(check::product).transpose()?.unwrap_or_default();
+/// Runs a node until SIGTERM, configured by the `merlinfold.toml` at this path, or by the defaults.
+pub fn node(path: Option<&Path>) -> Result<(), String> {
+    let config = path.map(check::read_config).transpose()?.unwrap_or_default();
     log::start(&config.log);
     merlinfold_node::process::run(config.fleet, merlinfold_fleet::Disks::default())
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line, as its user meets it.
+//! The command line: exit codes and output of the subcommands.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -8,7 +8,7 @@
     command.args(arguments).env_remove("BALANCER_CONFIG").output().unwrap()
 }
 
-/// A file of this text, gone when it is dropped.
+/// A temporary file with this content, deleted on drop.
 struct File(PathBuf);
 
 impl File {
@@ -29,41 +29,42 @@
     }
 }
 
-/// Guards what an operator reads: the place of the fault, and codes that a script can tell apart.
+/// `check` must show operators where an error is, and let scripts tell invalid files from wrong usage.
 #[test]
-fn check_names_file_line_and_field_and_its_exit_code_tells() {
+fn check_reports_file_line_and_field_and_exits_with_a_distinct_code() {
     let good = File::new("good.toml", "[log]\nformat = \"json\"\n");
     let bad = File::new("bad.toml", "[log]\n\nlevle = \"info\"\n");
     let json = File::new("bad.json", "{\"name\": \"n0\",\n \"listen\": \"nowhere\"}");
-    for (files, code, says) in [
+    for (files, code, expected) in [
         (vec![good.name()], 0, String::new()),
         (vec![bad.name()], 1, format!("{}:3: log.levle: unknown field", bad.name())),
         (vec![good.name(), json.name()], 1, format!("{}:2: listen: invalid socket address", json.name())),
         (vec!["/does/not/exist.toml"], 1, "/does/not/exist.toml: cannot read".to_owned()),
         (vec![], 2, "Usage: merlinfold check".to_owned()),
     ] {
-        let ended = merlinfold(&[&["check"], files.as_slice()].concat());
-        let told = String::from_utf8(ended.stderr).unwrap();
-        assert_eq!(ended.status.code(), Some(code), "{files:?}: {told}");
-        assert!(told.contains(&says), "{files:?}: {told}");
+        let output = merlinfold(&[&["check"], files.as_slice()].concat());
+        let text = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(code), "{files:?}: {text}");
+        assert!(text.contains(&expected), "{files:?}: {text}");
     }
 }
 
-/// Guards scripts that start the platform's node: a product file that is broken ends the start by name.
+/// A node started by a script must fail with the file and field named when its own configuration is invalid.
 #[test]
-fn a_node_does_not_start_from_a_broken_product_file() {
+fn a_node_does_not_start_with_an_invalid_configuration_file() {
     let bad = File::new("start.toml", "log = 3\n");
-    let ended = merlinfold(&["node", "--config", bad.name()]);
-    assert_eq!(ended.status.code(), Some(1));
-    assert!(String::from_utf8(ended.stderr)
+    let output = merlinfold(&["node", "--config", bad.name()]);
+    assert_eq!(output.status.code(), Some(1));
+    assert!(String::from_utf8(output.stderr)
         .unwrap()
         .contains(&format!("{}:1: log: invalid type", bad.name())));
 }
 
 #[test]
-fn completions_and_manual_come_from_the_same_definition() {
-    for (arguments, says) in [(&["completions", "bash"][..], "--config"), (&["manual"], ".TH merlinfold")] {
-        let told = String::from_utf8(merlinfold(arguments).stdout).unwrap();
-        assert!(told.contains(says) && told.contains("check"), "{arguments:?}");
+fn completions_and_manual_contain_the_subcommands() {
+    for (arguments, expected) in [(&["completions", "bash"][..], "--config"), (&["manual"], ".TH merlinfold")]
+    {
+        let text = String::from_utf8(merlinfold(arguments).stdout).unwrap();
+        assert!(text.contains(expected) && text.contains("check"), "{arguments:?}");
     }
 }
--- a/crates/cli/tests/resume.rs
+++ b/crates/cli/tests/resume.rs
@@ -1,15 +1,15 @@
-//! How a node that asks for the list begins.
+//! The first calls to discovery of a node that polls for the list.
 
 mod common;
 
 use common::{answer, config, Discovery, Running, Server, Then};
 
-/// Guards drains: a small discovery that a whole fleet asks at once has to answer one call a node. The node goes on from
-/// the list that it was started with, in one watch; a whole list and a watch after it would be two calls.
+/// When a whole fleet starts at once, a small discovery must only have to answer one call per node. The node therefore
+/// continues from the list in its configuration with one watch; a whole list and a watch after it would be two calls.
 #[test]
-fn a_node_that_asks_goes_on_from_the_list_it_was_started_with() {
+fn a_polling_node_continues_from_the_list_in_its_configuration() {
     let server = Server::start(|_| Then::Write(answer(200, "", "pong")));
-    let (_held, discovery) = Discovery::start(&[("s", server.address)]);
+    let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let mut config = config(discovery.address, &[("s", server.address)]);
     config["settings"]["Discovery"] = "ask".into();
     let node = Running::start(&config);
@@ -18,11 +18,10 @@
     assert_eq!(node.ask("read").body, b"pong");
 }
 
-/// Guards the list: a node that was started with none asks for all of it.
 #[test]
-fn a_node_that_was_started_without_a_list_asks_for_the_whole() {
+fn a_node_without_a_list_in_its_configuration_requests_the_whole_list() {
     let server = Server::start(|_| Then::Write(answer(200, "", "pong")));
-    let (_held, discovery) = Discovery::start(&[("s", server.address)]);
+    let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let mut config = config(discovery.address, &[]);
     config["settings"]["Discovery"] = "ask".into();
     config.as_object_mut().expect("an object").remove("known");
