--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -1,6 +1,6 @@
 //! The format of a scenario file, and its validation.
 
-use merlinfold_config::Fault as TextError;
+use merlinfold_config::ParseError;
 use merlinfold_simulation::{Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
@@ -313,7 +313,7 @@
     /// Parses and validates a scenario. The error names the line or the field.
     pub fn parse(text: &str) -> Result<Self, String> {
         let scenario: Scenario =
-            merlinfold_config::parse(text).map_err(|error: TextError| error.to_string())?;
+            merlinfold_config::parse(text).map_err(|error: ParseError| error.to_string())?;
         scenario.check()?;
         Ok(scenario)
     }
