--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -157,7 +157,7 @@
         }
         None => None,
     };
-    merlinfold_node::process::run(fleet, store.map(trial::faulty::disks).unwrap_or_default())
+    merlinfold_node::process::run(fleet, store.map(trial::faulty_disk::disks).unwrap_or_default())
 }
 
 fn runtime() -> Result<tokio::runtime::Runtime, String> {
@@ -200,7 +200,7 @@
             let node = command(common.node.as_deref())?;
             let (members, joined) = trial::members::start(members, &node).await?;
             let ended = cost([joined, node], "in a fleet", "without", pairs).await;
-            members.end();
+            members.stop();
             ended
         }
         Command::Cost { common, against, pairs, .. } => {
@@ -212,7 +212,7 @@
         }
         Command::Closed(closed) => merlinfold_lab::closed::run(&closed).await,
         Command::Scale { command } => scale::command::carry_out(command).await,
-        Command::Trial { command } => trial::command::carry_out(command).await,
+        Command::Trial { command } => trial::command::execute(command).await,
         Command::List | Command::Node { .. } | Command::Capacity { .. } => Ok(ExitCode::SUCCESS),
     }
 }
--- a/crates/lab/src/scale/proof.rs
+++ b/crates/lab/src/scale/proof.rs
@@ -17,7 +17,7 @@
 use crate::platform::configuration;
 use crate::play::Folder;
 use crate::process::{NodeCommand, Process};
-use crate::trial::processes::members;
+use crate::trial::processes::fetch_snapshot;
 
 const WARM_UP: Duration = Duration::from_secs(12);
 const SOCKETS: usize = 512;
@@ -119,7 +119,8 @@
     async fn counts(&self) -> Vec<(u64, u64)> {
         let mut counts = Vec::new();
         for (id, console) in self.ids.iter().zip(&self.consoles) {
-            let bytes = members(*console).await.and_then(|seen| seen.counts.get("sent_bytes").copied());
+            let bytes =
+                fetch_snapshot(*console).await.and_then(|seen| seen.counts.get("sent_bytes").copied());
             counts.push((process_cpu(*id).unwrap_or(0), bytes.unwrap_or(0)));
         }
         counts
--- a/crates/lab/src/trial/mod.rs
+++ b/crates/lab/src/trial/mod.rs
@@ -1,8 +1,8 @@
-//! Trials on sockets and processes, and their command.
+//! Runs fault-injection scenarios on node processes and real sockets, and provides the `trial` command.
 
-pub mod agreed;
 pub mod command;
-pub mod faulty;
+pub mod faulty_disk;
+pub mod log_proposals;
 pub mod members;
 pub mod processes;
 pub mod relay;
--- a/crates/lab/src/trial/processes.rs
+++ b/crates/lab/src/trial/processes.rs
@@ -1,4 +1,5 @@
-//! Plays a trial on processes of the program, with relays in all links, clients in front and guide servers behind.
+//! Runs a scenario on node processes, with relays in all links, clients in front of the nodes and guide servers
+//! behind them.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -7,7 +8,7 @@
 use std::time::Duration;
 
 use merlinfold_fault_injection::invariants::{
-    all_invariants, ActualState, Findings, Invariant, Views, SAMPLE_INTERVAL,
+    all_invariants, ActualState, Findings, Invariant, Views, Violation, SAMPLE_INTERVAL,
 };
 use merlinfold_fault_injection::link::Links;
 use merlinfold_fault_injection::report::{mean_and_max, seconds, Report, ViewSample};
@@ -28,9 +29,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::agreed::{self, Proposals};
-use super::faulty;
-use super::relay::{connections, datagrams, Fates};
+use super::faulty_disk;
+use super::log_proposals::{self, Proposals};
+use super::relay::{relay_connections, relay_datagrams, SharedLinks};
 use crate::experiments;
 use crate::load::{ready, Load};
 use crate::net::Range;
@@ -40,16 +41,16 @@
 use crate::servers::Servers;
 use crate::time::Clock;
 
-const START: Duration = Duration::from_secs(10); // for a node to become ready
-const LOOK: Duration = Duration::from_millis(250); // between looks at what nodes see
-const ANSWER: Duration = Duration::from_millis(200); // for a console; one that is stopped gives none
-const END: Duration = Duration::from_secs(5); // for a node that is told to end
-const LATE_MOST: u64 = 200; // pieces that relays may pass on late until a play tells nothing
+const START_TIMEOUT: Duration = Duration::from_secs(10); // for a node to become ready
+const POLL_INTERVAL: Duration = Duration::from_millis(250); // between polls of all consoles
+const CONSOLE_TIMEOUT: Duration = Duration::from_millis(200); // a stopped process does not answer
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5); // for a node to end after SIGTERM
+const MAX_LATE_FORWARDS: u64 = 200; // a run in which relays forward more than this late is void
 const FLEET_PORT: u16 = 7_946;
 const CONSOLE_PORT: u16 = 8_090;
 const CLUSTER: &str = "trial";
-/// Laws of the ledger that hold whatever fails between processes.
-const OF_REQUESTS: [(LedgerLaw, &str); 5] = [
+/// Request invariants that must hold whatever fails between processes.
+const REQUEST_INVARIANTS: [(LedgerLaw, &str); 5] = [
     (LedgerLaw::AnsweredOnce, "answered once"),
     (LedgerLaw::UnsafeOnce, "unsafe once"),
     (LedgerLaw::Genuine, "genuine"),
@@ -57,15 +58,16 @@
     (LedgerLaw::Attempts, "attempts"),
 ];
 
-/// What a node's console said last.
+/// A node's console and the last snapshot read from it.
 struct Console {
     at: SocketAddr,
     snapshot: Option<Snapshot>,
 }
 
-struct Player<'a> {
+/// A run in progress. Its vectors are indexed by node number.
+struct Runner<'a> {
     trial: &'a Scenario,
-    day: Experiment,
+    experiment: Experiment,
     command: &'a NodeCommand,
     clock: Clock,
     inner: Arc<Range>,
@@ -77,28 +79,30 @@
     consoles: Vec<Console>,
     paused: Vec<bool>,
     starts: u64,
-    store: bool, // nodes run on the lab's store
-    lives: Vec<(Nanos, usize, Life)>,
-    fates: Fates,
-    truth: ActualState,
-    laws: Vec<Box<dyn Invariant>>,
-    found: Findings,
+    faulty_disks: bool, // whether nodes use the lab's faulty disks
+    lifecycle_events: Vec<(Nanos, usize, Life)>,
+    links: SharedLinks,
+    actual: ActualState,
+    invariants: Vec<Box<dyn Invariant>>,
+    findings: Findings,
     report: Report,
-    used: Vec<f64>,
-    begun: Vec<Instant>,
+    cpu_seconds: Vec<f64>,    // of the processes that have ended
+    started_at: Vec<Instant>, // of the latest process
     tasks: JoinSet<()>,
     proposals: Option<Proposals>,
 }
 
-struct Seen<'a>(&'a [Console]);
+/// The nodes' views of their fleet, as read from their consoles.
+struct ConsoleViews<'a>(&'a [Console]);
 
-impl Seen<'_> {
-    fn of(&self, observer: usize) -> Option<&Snapshot> {
+impl ConsoleViews<'_> {
+    fn snapshot(&self, observer: usize) -> Option<&Snapshot> {
         self.0[observer].snapshot.as_ref()
     }
 }
 
-fn state_of(state: &str) -> &'static str {
+/// Returns the static name of a member's state; an unknown state counts as dead.
+fn state_name(state: &str) -> &'static str {
     match state {
         "alive" => "alive",
         "suspect" => "suspect",
@@ -107,110 +111,120 @@
     }
 }
 
-impl Views for Seen<'_> {
+impl Views for ConsoleViews<'_> {
     fn state(&self, observer: usize, member: usize) -> Option<&'static str> {
         let name = format!("n{member}");
-        let line = self.of(observer)?.members.iter().find(|line| line.name == name)?;
-        Some(state_of(&line.state))
+        let line = self.snapshot(observer)?.members.iter().find(|line| line.name == name)?;
+        Some(state_name(&line.state))
     }
 
     fn majority(&self, observer: usize) -> Option<bool> {
-        self.of(observer).map(|seen| seen.majority)
+        self.snapshot(observer).map(|seen| seen.majority)
     }
 
     fn accusation_count(&self, observer: usize) -> Option<u64> {
-        self.of(observer).and_then(|seen| seen.counts.get("accused").copied())
+        self.snapshot(observer).and_then(|seen| seen.counts.get("accused").copied())
     }
 
     fn run_id(&self, observer: usize) -> Option<u64> {
-        self.of(observer).map(|seen| seen.run)
+        self.snapshot(observer).map(|seen| seen.run)
     }
 
     fn foreign_members(&self, observer: usize) -> usize {
-        let others = |line: &&merlinfold_fleet::MemberLine| !line.name.starts_with('n');
-        self.of(observer).map_or(0, |seen| seen.members.iter().filter(others).count())
+        let is_foreign = |line: &&merlinfold_fleet::MemberLine| !line.name.starts_with('n');
+        self.snapshot(observer).map_or(0, |seen| seen.members.iter().filter(is_foreign).count())
     }
 }
 
-/// The day around the fleet: a light load on servers that can bear it.
-fn day(trial: &Scenario) -> Result<Experiment, String> {
-    let mut day = experiments::find("calm")?;
-    day.seconds = trial.seconds;
-    day.seed = trial.seed;
-    (day.nodes.count, day.nodes.sockets, day.nodes.ask) = (trial.fleet.nodes, 512, false);
-    day.fleet.zones = trial.fleet.zones.clone();
-    day.fleet.kinds.truncate(1);
-    for kind in &mut day.fleet.kinds {
+/// Returns the experiment that surrounds the fleet: a light load, well within the guide servers' capacity.
+fn surrounding_experiment(trial: &Scenario) -> Result<Experiment, String> {
+    let mut experiment = experiments::find("calm")?;
+    experiment.seconds = trial.seconds;
+    experiment.seed = trial.seed;
+    (experiment.nodes.count, experiment.nodes.sockets, experiment.nodes.ask) =
+        (trial.fleet.nodes, 512, false);
+    experiment.fleet.zones = trial.fleet.zones.clone();
+    experiment.fleet.kinds.truncate(1);
+    for kind in &mut experiment.fleet.kinds {
         kind.count = trial.fleet.servers;
     }
-    (day.load.of_capacity, day.load.swing) = (0.1, 0.0);
-    day.rules.served = 0.0;
-    day.check().map_err(|fault| fault.to_string())?;
-    Ok(day)
+    (experiment.load.of_capacity, experiment.load.swing) = (0.1, 0.0);
+    experiment.rules.served = 0.0;
+    experiment.check().map_err(|error| error.to_string())?;
+    Ok(experiment)
 }
 
-/// Where a node hears datagrams, in a range of addresses.
+/// Returns the address on which a node receives fleet datagrams, in a range of addresses.
 fn fleet_address(range: &Range, node: usize) -> SocketAddr {
     SocketAddr::new(range.node(node).ip(), FLEET_PORT)
 }
 
-/// Plays it. Dropping the future ends all that was started.
-pub async fn play(
+/// Runs the scenario on processes and reports. Dropping the future stops every process and task that it started.
+///
+/// Returns an error if the scenario is invalid or cannot run on processes, if a node does not become ready, and if a
+/// node ends although no step ends it.
+pub async fn run(
     name: &str, trial: &Scenario, command: &NodeCommand, logs: Option<&Path>,
 ) -> Result<Report, String> {
     trial.check()?;
     if trial.fleet.strangers > 0 {
-        return Err("strangers are played in virtual time only".to_owned());
+        return Err("a scenario with strangers runs in virtual time only; use --virtual".to_owned());
     }
-    let of_store = |fault: &merlinfold_fault_injection::scenario::Fault| match fault.kind {
+    let needs_faulty_disk = |fault: &merlinfold_fault_injection::scenario::Fault| match fault.kind {
         FaultKind::Disk { does, .. } => does.needs_faulty_store(),
         _ => false,
     };
-    let store = trial.faults.iter().any(of_store);
-    if store && *command != NodeCommand::own()? {
-        return Err("only the lab's own node has a store that fails".to_owned());
+    let faulty_disks = trial.faults.iter().any(needs_faulty_disk);
+    if faulty_disks && *command != NodeCommand::own()? {
+        return Err(
+            "the scenario needs faulty disks, which only the lab's own node has; leave out --node".to_owned()
+        );
     }
-    let day = day(trial)?;
+    let experiment = surrounding_experiment(trial)?;
     let count = trial.fleet.nodes;
     let steps = steps(trial)?;
     let (inner, outer) = (Arc::new(Range::claim()?), Arc::new(Range::claim()?));
     let clock = Clock::default();
-    let (changes, _changed) = mpsc::unbounded_channel(); // no trouble of the world's own is planned
-    let (servers, _stop) = Servers::start(&day, Seed(day.seed), &clock, &inner, &outer, changes)?;
-    let (load, wake, _done) = Load::start(&day, Seed(day.seed), &clock, &outer);
-    let fates = Fates::new(Links::new(trial.network.clone(), trial.seed));
+    let (changes, _changed) = mpsc::unbounded_channel(); // the experiment plans no faults of its own
+    let (servers, _stop) =
+        Servers::start(&experiment, Seed(experiment.seed), &clock, &inner, &outer, changes)?;
+    let (load, wake, _done) = Load::start(&experiment, Seed(experiment.seed), &clock, &outer);
+    let links = SharedLinks::new(Links::new(trial.network.clone(), trial.seed));
     let mut tasks = JoinSet::new();
-    let all_of = |range: &Range| (0..count).map(|node| fleet_address(range, node)).collect::<Vec<_>>();
-    let cannot = |error: std::io::Error| format!("relays: {error}");
-    datagrams(&fates, all_of(&inner), all_of(&outer), &mut tasks).await.map_err(cannot)?;
+    let fleet_addresses =
+        |range: &Range| (0..count).map(|node| fleet_address(range, node)).collect::<Vec<_>>();
+    let relay_error = |error: std::io::Error| format!("cannot start the relays: {error}");
+    relay_datagrams(&links, fleet_addresses(&inner), fleet_addresses(&outer), &mut tasks)
+        .await
+        .map_err(relay_error)?;
     for node in 0..count {
-        let links = (0..trial.fleet.servers)
+        let to_servers = (0..trial.fleet.servers)
             .map(|s| (node, outer.server(node, s), FIRST_SERVER + s, inner.server(node, s)));
-        let own = [
+        let others = [
             (node, outer.discovery(node), DISCOVERY, inner.discovery(node)),
             (CLIENTS, outer.node(node), node, inner.node(node)),
         ];
-        for (from, at, to, onto) in links.chain(own) {
-            connections(&fates, from, at, to, onto, &mut tasks).map_err(cannot)?;
+        for (from, listen, to, target) in to_servers.chain(others) {
+            relay_connections(&links, from, listen, to, target, &mut tasks).map_err(relay_error)?;
         }
     }
     let folder = Folder::new(logs.map(PathBuf::from).as_ref())?;
     let console = |node| SocketAddr::new(inner.node(node).ip(), CONSOLE_PORT);
-    let mut player = Player {
+    let mut runner = Runner {
         consoles: (0..count).map(|node| Console { at: console(node), snapshot: None }).collect(),
-        truth: ActualState::new(trial, steps.last().map_or(0, |step| step.at)),
-        laws: all_invariants(trial),
-        found: Findings::default(),
+        actual: ActualState::new(trial, steps.last().map_or(0, |step| step.at)),
+        invariants: all_invariants(trial),
+        findings: Findings::default(),
         report: Report::new(name, trial, "processes", Findings::default()),
         nodes: (0..count).map(|_| None).collect(),
         paused: vec![false; count],
         starts: 0,
-        store,
-        lives: Vec::new(),
-        used: vec![0.0; count],
-        begun: vec![Instant::now(); count],
+        faulty_disks,
+        lifecycle_events: Vec::new(),
+        cpu_seconds: vec![0.0; count],
+        started_at: vec![Instant::now(); count],
         trial,
-        day,
+        experiment,
         command,
         clock: clock.clone(),
         inner,
@@ -218,31 +232,31 @@
         servers,
         load,
         folder,
-        fates,
+        links,
         tasks,
         proposals: None,
     };
     for node in 0..count {
-        player.start(node, DiskContents::Empty)?;
+        runner.start(node, DiskContents::Empty)?;
     }
     for node in 0..count {
-        if !ready(player.outer.node(node), START).await {
-            return Err(format!("node {node} was not ready:\n{}", player.tail(node)));
+        if !ready(runner.outer.node(node), START_TIMEOUT).await {
+            return Err(format!("node {node} did not become ready within 10 s:\n{}", runner.tail(node)));
         }
-        player.load.node(node, None);
+        runner.load.node(node, None);
     }
     clock.start();
-    player.servers.tick();
+    runner.servers.tick();
     wake.notify_one();
     if trial.log.is_some() {
-        let consoles = player.consoles.iter().map(|console| console.at).collect();
-        player.proposals = Some(Proposals::start(consoles, trial.seed));
+        let consoles = runner.consoles.iter().map(|console| console.at).collect();
+        runner.proposals = Some(Proposals::start(consoles, trial.seed));
     }
-    player.run(&steps).await?;
-    player.finish().await
+    runner.run_schedule(&steps).await?;
+    runner.finish().await
 }
 
-impl Player<'_> {
+impl Runner<'_> {
     fn disk(&self, node: usize) -> PathBuf {
         self.folder.path.join(format!("disk-{node}"))
     }
@@ -251,52 +265,56 @@
         self.nodes[node].as_ref().map(Process::tail).unwrap_or_default()
     }
 
-    async fn run(&mut self, steps: &[merlinfold_fault_injection::schedule::Step]) -> Result<(), String> {
+    /// Applies the schedule's steps, polls the consoles and samples the invariants until the scenario's end.
+    async fn run_schedule(
+        &mut self, steps: &[merlinfold_fault_injection::schedule::Step],
+    ) -> Result<(), String> {
         let begun = Instant::now();
         let at = |at: Nanos| begun + Duration::from_nanos(at);
         let end = at(nanos(self.trial.seconds));
         let mut steps = steps.iter().peekable();
-        let (mut look, mut moment) = (begun, begun + Duration::from_nanos(SAMPLE_INTERVAL));
+        let (mut next_poll, mut next_sample) = (begun, begun + Duration::from_nanos(SAMPLE_INTERVAL));
         loop {
-            let due = steps.peek().map_or(end, |step| at(step.at)).min(look).min(moment).min(end);
+            let due = steps.peek().map_or(end, |step| at(step.at)).min(next_poll).min(next_sample).min(end);
             sleep_until(due).await;
             let now = Instant::now();
             if now >= end {
                 return Ok(());
             }
             while let Some(step) = steps.next_if(|step| at(step.at) <= now) {
-                self.step(&step.action).await?;
+                self.apply_step(&step.action).await?;
             }
-            if look <= now {
-                self.look().await?;
-                look = Instant::now() + LOOK;
+            if next_poll <= now {
+                self.poll_consoles().await?;
+                next_poll = Instant::now() + POLL_INTERVAL;
             }
-            if moment <= now {
-                moment = now + Duration::from_nanos(SAMPLE_INTERVAL);
-                self.moment();
+            if next_sample <= now {
+                next_sample = now + Duration::from_nanos(SAMPLE_INTERVAL);
+                self.take_sample();
             }
         }
     }
 
-    async fn step(&mut self, action: &StepAction) -> Result<(), String> {
+    /// Applies a step of the schedule and notifies the invariants.
+    async fn apply_step(&mut self, action: &StepAction) -> Result<(), String> {
         let now = self.clock.now();
         self.report.add_timeline_entry(now, None, action.description());
-        self.fates.step(action);
+        self.links.apply(action);
         match action {
             StepAction::Kill(node) => {
-                if let Some(process) = self.end(*node) {
+                if let Some(process) = self.take_process(*node) {
                     process.signal(true);
-                    self.lives.push((now, *node, Life::Stopped { killed: true }));
-                    self.load.node(*node, Some(now + millis(self.day.nodes.notice_ms)));
+                    self.lifecycle_events.push((now, *node, Life::Stopped { killed: true }));
+                    self.load.node(*node, Some(now + millis(self.experiment.nodes.notice_ms)));
                 }
             }
             StepAction::Stop(node) => {
-                if let Some(mut process) = self.end(*node) {
+                if let Some(mut process) = self.take_process(*node) {
                     process.signal(false);
-                    self.lives.push((now, *node, Life::Stopped { killed: false }));
-                    self.load.node(*node, Some(now + millis(self.day.nodes.notice_ms)));
+                    self.lifecycle_events.push((now, *node, Life::Stopped { killed: false }));
+                    self.load.node(*node, Some(now + millis(self.experiment.nodes.notice_ms)));
                     self.tasks.spawn(async move {
-                        let _ = process.wait(END).await; // its drop kills what is left by then
+                        let _ = process.wait(SHUTDOWN_TIMEOUT).await; // dropping the process kills it if it still runs
                     });
                 }
             }
@@ -304,45 +322,48 @@
                 self.start(*node, *kept)?;
                 let (at, load, node) = (self.outer.node(*node), self.load.clone(), *node);
                 self.tasks.spawn(async move {
-                    if ready(at, START).await {
+                    if ready(at, START_TIMEOUT).await {
                         load.node(node, None);
                     }
                 });
             }
             StepAction::Pause(node) | StepAction::Continue(node) => {
-                let stops = matches!(action, StepAction::Pause(_));
+                let pauses = matches!(action, StepAction::Pause(_));
                 if let Some(process) = &self.nodes[*node] {
-                    process.send(if stops { Signal::STOP } else { Signal::CONT });
+                    process.send(if pauses { Signal::STOP } else { Signal::CONT });
                 }
-                self.paused[*node] = stops;
+                self.paused[*node] = pauses;
             }
-            StepAction::SetDiskFault(node, fault) => self.break_disk(*node, *fault)?,
+            StepAction::SetDiskFault(node, fault) => self.set_disk_fault(*node, *fault)?,
             StepAction::BeginRule { .. } | StepAction::EndRule(_) => {}
         }
-        self.truth.apply(now, action);
-        let seen = Seen(&self.consoles);
-        for law in &mut self.laws {
-            law.on_step(now, &self.truth, action, &seen, &mut self.found);
+        self.actual.apply(now, action);
+        let seen = ConsoleViews(&self.consoles);
+        for invariant in &mut self.invariants {
+            invariant.on_step(now, &self.actual, action, &seen, &mut self.findings);
         }
         Ok(())
     }
 
-    /// The process leaves the trial; whoever has it ends it.
-    fn end(&mut self, node: usize) -> Option<Process> {
+    /// Removes a node's process from the run; the caller ends the process.
+    fn take_process(&mut self, node: usize) -> Option<Process> {
         let mut process = self.nodes[node].take()?;
-        self.used[node] += process.look().cpu_s;
+        self.cpu_seconds[node] += process.look().cpu_s;
         self.consoles[node].snapshot = None;
         Some(process)
     }
 
-    fn start(&mut self, node: usize, kept: DiskContents) -> Result<(), String> {
-        self.put_disk(node, kept).map_err(|error| format!("disk of n{node}: {error}"))?;
-        let cannot = |error: std::io::Error| format!("node {node}: {error}");
+    /// Starts a node's process with the given contents of its disk.
+    fn start(&mut self, node: usize, contents: DiskContents) -> Result<(), String> {
+        self.prepare_disk(node, contents).map_err(|error| format!("disk of n{node}: {error}"))?;
+        let file_error =
+            |error: std::io::Error| format!("cannot write the configuration of node {node}: {error}");
         let disk = self.disk(node);
         let known = self.servers.known(node);
         self.starts += 1;
-        let mut text: Value = platform::configuration(&self.day, node, self.starts, known, &self.outer);
-        // Behind its relay: clients come to the outer address.
+        let mut text: Value =
+            platform::configuration(&self.experiment, node, self.starts, known, &self.outer);
+        // The node listens behind its relay; clients connect to the outer address.
         text["listen"] = self.inner.node(node).to_string().into();
         text["console"] = self.consoles[node].at.to_string().into();
         let quoted = |at: SocketAddr| format!("\"{at}\"");
@@ -358,33 +379,33 @@
             self.trial.machine(node),
             seeds.collect::<Vec<_>>().join(", "),
             disk.display().to_string(),
-            self.trial.log.as_ref().map(agreed::table).unwrap_or_default(),
+            self.trial.log.as_ref().map(log_proposals::configuration_table).unwrap_or_default(),
         );
         let file = self.folder.path.join(format!("node-{node}.toml"));
-        std::fs::write(&file, product).map_err(cannot)?;
+        std::fs::write(&file, product).map_err(file_error)?;
         let mut command = self.command.clone();
         command.words.extend(["--config".to_owned(), file.display().to_string()]);
-        if self.store {
+        if self.faulty_disks {
             command.words.extend(["--store".to_owned(), (self.trial.seed ^ mix(self.starts)).to_string()]);
         }
-        let sockets = self.day.nodes.sockets;
+        let sockets = self.experiment.nodes.sockets;
         let process = Process::start(&command, node, &text.to_string(), sockets, &self.folder.path)?;
         self.nodes[node] = Some(process);
         self.paused[node] = false;
-        self.begun[node] = Instant::now();
+        self.started_at[node] = Instant::now();
         Ok(())
     }
 
-    /// What the disk holds when its node starts. Root ignores permission bits, so faults are of other kinds.
-    fn put_disk(&self, node: usize, kept: DiskContents) -> std::io::Result<()> {
+    /// Prepares a disk's contents before its node starts. Permission bits are of no use as a fault: root ignores them.
+    fn prepare_disk(&self, node: usize, contents: DiskContents) -> std::io::Result<()> {
         let (disk, before) = (self.disk(node), self.folder.path.join(format!("before-{node}")));
         let view = disk.join("fleet.mf");
-        let draw = mix(self.trial.seed ^ mix(node as u64 ^ (self.starts << 20)));
+        let random = mix(self.trial.seed ^ mix(node as u64 ^ (self.starts << 20)));
         let copy = |from: &Path, to: &Path| match std::fs::copy(from, to) {
             Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         };
-        match kept {
+        match contents {
             DiskContents::Empty => {
                 let _ = std::fs::remove_dir_all(&disk);
             }
@@ -395,27 +416,29 @@
             }
             DiskContents::Torn | DiskContents::Flipped => {
                 if let Ok(mut bytes) = std::fs::read(&view) {
-                    let at = (draw % bytes.len().max(1) as u64) as usize;
-                    if kept == DiskContents::Torn {
+                    let at = (random % bytes.len().max(1) as u64) as usize;
+                    if contents == DiskContents::Torn {
                         bytes.truncate(at);
                     } else if let Some(byte) = bytes.get_mut(at) {
-                        *byte ^= 1 << (draw >> 32 & 7);
+                        *byte ^= 1 << (random >> 32 & 7);
                     }
                     std::fs::write(&view, bytes)?;
                 }
             }
             DiskContents::Kept => {}
         }
-        if kept != DiskContents::Yesterday {
+        if contents != DiskContents::Yesterday {
             copy(&view, &before)?;
         }
         Ok(())
     }
 
-    fn break_disk(&mut self, node: usize, fault: Option<DiskFault>) -> Result<(), String> {
+    /// Sets the fault of a node's disk from now on; `None` removes it.
+    fn set_disk_fault(&mut self, node: usize, fault: Option<DiskFault>) -> Result<(), String> {
         let (disk, aside) = (self.disk(node), self.folder.path.join(format!("aside-{node}")));
-        let full: Vec<PathBuf> = faulty::files().map(|file| disk.join(format!("{file}.new"))).collect();
-        let done = match fault {
+        let full: Vec<PathBuf> =
+            faulty_disk::node_files().map(|file| disk.join(format!("{file}.new"))).collect();
+        let result = match fault {
             Some(DiskFault::Full) => std::fs::create_dir_all(&disk).and_then(|()| {
                 full.iter().try_for_each(|full| {
                     let _ = std::fs::remove_file(full);
@@ -426,13 +449,13 @@
                 self.nodes[node].as_ref().map_or(Ok(()), |process| process.limit_files(Some(0)))
             }
             Some(DiskFault::Gone) => {
-                // A file where the folder was: nothing below it can be made, not by root either.
+                // A file replaces the folder, so that nobody, not even root, can create anything in it.
                 let _ = std::fs::rename(&disk, &aside);
                 std::fs::write(&disk, "")
             }
-            Some(of_the_store) => faulty::tell(&disk, Some(of_the_store)),
+            Some(injected) => faulty_disk::set_fault(&disk, Some(injected)),
             None => {
-                let _ = std::fs::remove_file(faulty::told_in(&disk));
+                let _ = std::fs::remove_file(faulty_disk::fault_file(&disk));
                 let lifted = self.nodes[node].as_ref().map_or(Ok(()), |process| process.limit_files(None));
                 for full in full.iter().filter(|full| std::fs::read_link(full).is_ok()) {
                     let _ = std::fs::remove_file(full);
@@ -444,35 +467,40 @@
                 lifted
             }
         };
-        done.map_err(|error| format!("disk of n{node}: {error}"))
+        result.map_err(|error| format!("disk of n{node}: {error}"))
     }
 
-    /// Asks all consoles at once, and tells laws what is seen otherwise than before.
-    async fn look(&mut self) -> Result<(), String> {
+    /// Reads all consoles at once and notifies the invariants of each change.
+    ///
+    /// Returns an error if a node's process has ended although no step ended it.
+    async fn poll_consoles(&mut self) -> Result<(), String> {
         for node in 0..self.nodes.len() {
             if let Some(how) = self.nodes[node].as_mut().and_then(Process::ended) {
                 let tail = self.tail(node);
                 self.nodes[node] = None;
-                return Err(format!("n{node} ended by itself, {how}:\n{tail}"));
+                return Err(format!("n{node} ended unexpectedly with {how}:\n{tail}"));
             }
         }
-        let mut asked = JoinSet::new();
+        let mut polls = JoinSet::new();
         for node in (0..self.nodes.len()).filter(|&node| self.nodes[node].is_some() && !self.paused[node]) {
             let at = self.consoles[node].at;
-            asked.spawn(async move { (node, timeout(ANSWER, members(at)).await.ok().flatten()) });
+            polls.spawn(
+                async move { (node, timeout(CONSOLE_TIMEOUT, fetch_snapshot(at)).await.ok().flatten()) },
+            );
         }
-        while let Some(answer) = asked.join_next().await {
+        while let Some(answer) = polls.join_next().await {
             if let Ok((node, Some(snapshot))) = answer {
-                self.saw(node, snapshot);
+                self.record_snapshot(node, snapshot);
             }
         }
         Ok(())
     }
 
-    fn saw(&mut self, node: usize, snapshot: Snapshot) {
+    /// Records a new snapshot, with the changes against the one before it.
+    fn record_snapshot(&mut self, node: usize, snapshot: Snapshot) {
         let now = self.clock.now();
         let states = |seen: &Snapshot| -> BTreeMap<String, &'static str> {
-            seen.members.iter().map(|line| (line.name.clone(), state_of(&line.state))).collect()
+            seen.members.iter().map(|line| (line.name.clone(), state_name(&line.state))).collect()
         };
         let before = self.consoles[node].snapshot.replace(snapshot);
         let Some(seen) = &self.consoles[node].snapshot else { return };
@@ -483,8 +511,8 @@
                 continue;
             }
             if let Some(member) = merlinfold_fault_injection::invariants::node_number(name) {
-                for law in &mut self.laws {
-                    law.on_state_change(now, &self.truth, node, member, is, &mut self.found);
+                for invariant in &mut self.invariants {
+                    invariant.on_state_change(now, &self.actual, node, member, is, &mut self.findings);
                 }
             }
             self.report.add_timeline_entry(
@@ -499,21 +527,23 @@
         }
     }
 
-    fn moment(&mut self) {
+    /// Samples the invariants and the number of members that each node sees alive.
+    fn take_sample(&mut self) {
         let now = self.clock.now();
-        let seen = Seen(&self.consoles);
-        for law in &mut self.laws {
-            law.on_sample(now, &self.truth, &seen, &mut self.found);
+        let seen = ConsoleViews(&self.consoles);
+        for invariant in &mut self.invariants {
+            invariant.on_sample(now, &self.actual, &seen, &mut self.findings);
         }
         let alive =
             self.consoles.iter().map(|console| console.snapshot.as_ref().map(|seen| seen.alive)).collect();
         self.report.samples.push(ViewSample { at: seconds(now), alive, served: None });
     }
 
+    /// Ends all processes, checks the invariants of the whole run and builds the report.
     async fn finish(mut self) -> Result<Report, String> {
-        sleep(Duration::from_nanos(self.day.longest())).await; // the last answers
+        sleep(Duration::from_nanos(self.experiment.longest())).await; // for the last answers
         let mut crashed = Vec::new();
-        let agreed = match self.proposals.take() {
+        let log_outcome = match self.proposals.take() {
             Some(proposals) => {
                 let up =
                     (0..self.nodes.len()).filter(|&node| self.nodes[node].is_some() && !self.paused[node]);
@@ -528,16 +558,18 @@
         for node in 0..self.nodes.len() {
             let counts = self.consoles[node].snapshot.as_ref().map(|seen| &seen.counts);
             let sent = counts.and_then(|counts| counts.get("sent_bytes").copied()).unwrap_or(0);
-            let lived = self.begun[node].elapsed().as_secs_f64();
-            let Some(mut process) = self.end(node) else { continue };
+            let lived = self.started_at[node].elapsed().as_secs_f64();
+            let Some(mut process) = self.take_process(node) else { continue };
             bytes.push(sent as f64 / lived);
-            processor.push(self.used[node] / self.trial.seconds);
+            processor.push(self.cpu_seconds[node] / self.trial.seconds);
             process.send(Signal::CONT);
             process.signal(false);
-            match process.wait(END).await {
+            match process.wait(SHUTDOWN_TIMEOUT).await {
                 Some(status) if status.success() => {}
                 Some(status) => crashed.push(format!("n{node} after SIGTERM: {status}\n{}", process.tail())),
-                None => crashed.push(format!("n{node} does not end\n{}", process.tail())),
+                None => {
+                    crashed.push(format!("n{node} did not end within 5 s of SIGTERM\n{}", process.tail()))
+                }
             }
         }
         let (of_servers, of_clients) = (self.servers.seen(), self.load.seen());
@@ -547,71 +579,61 @@
             runs: of_servers.runs,
             told: of_servers.told,
             peers: of_clients.peers,
-            nodes: std::mem::take(&mut self.lives),
+            nodes: std::mem::take(&mut self.lifecycle_events),
             falls: of_servers.falls,
             marks: Vec::new(),
         };
-        let mut of_requests = merlinfold_simulation::report::report(&self.day, &ledger);
-        let broken = of_requests.judge(&self.day, &ledger);
-        let judged = Report::new(&self.report.name, self.trial, "processes", self.found);
+        let mut request_report = merlinfold_simulation::report::report(&self.experiment, &ledger);
+        let broken = request_report.judge(&self.experiment, &ledger);
+        let judged = Report::new(&self.report.name, self.trial, "processes", self.findings);
         let mut report = self.report;
         (report.violations, report.figures) = (judged.violations, judged.figures);
         for breach in broken {
-            if let Some((_, law)) = OF_REQUESTS.into_iter().find(|(law, _)| *law == breach.law) {
-                report.violations.push(merlinfold_fault_injection::invariants::Violation {
-                    invariant: law,
-                    at: seconds(now),
-                    detail: breach.what,
-                });
+            if let Some((_, invariant)) = REQUEST_INVARIANTS.into_iter().find(|(law, _)| *law == breach.law) {
+                report.violations.push(Violation { invariant, at: seconds(now), detail: breach.what });
             }
         }
-        if let Some(told) = agreed {
-            report.add_timeline_entry(now, None, told.text);
-            let broken = told.broken.into_iter();
-            report.violations.extend(broken.map(|(law, what)| {
-                merlinfold_fault_injection::invariants::Violation {
-                    invariant: law,
-                    at: seconds(now),
-                    detail: what,
-                }
+        if let Some(outcome) = log_outcome {
+            report.add_timeline_entry(now, None, outcome.text);
+            let broken = outcome.violations.into_iter();
+            report.violations.extend(broken.map(|(invariant, what)| Violation {
+                invariant,
+                at: seconds(now),
+                detail: what,
             }));
         }
         for what in crashed {
-            report.violations.push(merlinfold_fault_injection::invariants::Violation {
-                invariant: "ends well",
-                at: seconds(now),
-                detail: what,
-            });
+            report.violations.push(Violation { invariant: "ends well", at: seconds(now), detail: what });
         }
-        let whole = &of_requests.whole;
+        let whole = &request_report.whole;
         let served = whole.served as f64 / whole.asked.max(1) as f64;
         if served < self.trial.rules.served {
-            let what = format!("{served:.3} of the requests, {} are wanted", self.trial.rules.served);
-            report.violations.push(merlinfold_fault_injection::invariants::Violation {
-                invariant: "served",
-                at: seconds(now),
-                detail: what,
-            });
+            let what = format!(
+                "{served:.3} of the requests were served, expected at least {}",
+                self.trial.rules.served
+            );
+            report.violations.push(Violation { invariant: "served", at: seconds(now), detail: what });
         }
         report.figures.served = Some(served);
         report.figures.bytes_s = mean_and_max(&bytes);
         report.figures.processor = mean_and_max(&processor);
-        // Windows of the ledger under the moments: each moment shows the window that it falls into.
-        for moment in &mut report.samples {
-            let window = of_requests.windows.iter().rev().find(|window| window.from_s <= moment.at);
-            moment.served = window.filter(|w| w.asked > 0).map(|w| w.served as f64 / w.asked as f64);
+        // Each sample shows the share of requests served in the ledger's window that it falls into.
+        for sample in &mut report.samples {
+            let window = request_report.windows.iter().rev().find(|window| window.from_s <= sample.at);
+            sample.served = window.filter(|w| w.asked > 0).map(|w| w.served as f64 / w.asked as f64);
         }
-        let late = self.fates.late();
-        if late > LATE_MOST {
-            report.void_reason =
-                Some(format!("relays passed on {late} pieces over 50 ms late: the machine is too busy"));
+        let late = self.links.late_count();
+        if late > MAX_LATE_FORWARDS {
+            report.void_reason = Some(format!(
+                "relays forwarded {late} datagrams and chunks more than 50 ms late: the machine is too busy"
+            ));
         }
         Ok(report)
     }
 }
 
-/// What a console says of its fleet.
-pub(crate) async fn members(at: SocketAddr) -> Option<Snapshot> {
+/// Reads a node's view of its fleet from its console; none if there is no valid answer.
+pub(crate) async fn fetch_snapshot(at: SocketAddr) -> Option<Snapshot> {
     debug_assert!(matches!(at.ip(), IpAddr::V4(ip) if ip.is_loopback()));
     let mut stream = TcpStream::connect(at).await.ok()?;
     stream.write_all(format!("GET /fleet/members HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes()).await.ok()?;
