--- a/crates/lab/src/trial/processes.rs
+++ b/crates/lab/src/trial/processes.rs
@@ -589,7 +589,10 @@
         let mut report = self.report;
         (report.violations, report.figures) = (judged.violations, judged.figures);
         for breach in broken {
-if let Some ( ( _ , invariant ) ) = REQUEST_INVARIANTS . into_iter ( ) . find ( | ( law , _ ) | * law == breach . invariant ) { report . violations . push ( Violation { invariant , at : seconds ( now ) , detail : breach . description } ) ;
+            if let Some((_, invariant)) =
+                REQUEST_INVARIANTS.into_iter().find(|(law, _)| *law == breach.invariant)
+            {
+                report.violations.push(Violation { invariant, at: seconds(now), detail: breach.description });
             }
         }
         if let Some(outcome) = log_outcome {
