--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -1,41 +1,41 @@
-//! `merlinfold-lab capacity`.
+//! The command `merlinfold-lab capacity`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
 
-use super::connections::{self, Question};
+use super::connections::{self, Parameters};
 use super::fleet::Size;
 use super::point;
 use super::ranges::{self, Range};
 
-/// What to measure.
+/// Subcommands of `capacity`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// A decision, a round of housekeeping and memory, by servers and services.
+    /// Cost of a decision and of a housekeeping tick, and memory, by servers and services.
     Module(Output),
-    /// Taking a whole list and a change of one server, by servers and services.
+    /// Cost of reading a whole list and of a change of one server, by servers and services.
     List(Output),
-    /// A decision and reading the settings, by tenants.
+    /// Cost of a decision and of reading the settings, by tenants.
     Tenants(Output),
-    /// How often a request has to open a connection, in virtual time.
+    /// Share of requests that must open a connection, in virtual time.
     Connections {
-        /// What is asked.
+        /// Parameters of the simulation.
         #[command(flatten)]
-        question: Question,
-        /// Add the answer to those in this file.
+        question: Parameters,
+        /// Append the answer to the JSON array in this file.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// One point of a range, in this process; prints its figures as JSON.
+    /// Measure one point of a range in this process and print its figures as JSON.
     Point(Size),
 }
 
-/// How often to measure, and where to write.
+/// Number of repeats, and the output file.
 #[derive(Debug, Args)]
 pub struct Output {
-    /// Processes that measure each point; the median counts.
+    /// Number of processes that measure each point; the median is reported.
     #[arg(long, default_value_t = 3)]
     repeats: usize,
     /// Write all figures and fits as JSON.
@@ -43,12 +43,12 @@
     json: Option<PathBuf>,
 }
 
-/// Carries it out.
-pub fn carry_out(command: Command) -> Result<ExitCode, String> {
+/// Executes the command.
+pub fn execute(command: Command) -> Result<ExitCode, String> {
     match command {
-        Command::Module(output) => range("module", ranges::module(), &output)?,
-        Command::List(output) => range("list", ranges::list(), &output)?,
-        Command::Tenants(output) => range("tenants", ranges::tenants(), &output)?,
+        Command::Module(output) => measure_range("module", ranges::module(), &output)?,
+        Command::List(output) => measure_range("list", ranges::list(), &output)?,
+        Command::Tenants(output) => measure_range("tenants", ranges::tenants(), &output)?,
         Command::Connections { question, json } => connections(question, json.as_deref())?,
         Command::Point(size) => println!("{}", json(&point::measure(size)?)?),
     }
@@ -63,7 +63,7 @@
     std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-fn range(name: &str, ranges: Vec<Range>, output: &Output) -> Result<(), String> {
+fn measure_range(name: &str, ranges: Vec<Range>, output: &Output) -> Result<(), String> {
     let report = ranges::measure(name, ranges, output.repeats)?;
     print!("{}", report.text());
     match &output.json {
@@ -72,15 +72,15 @@
     }
 }
 
-fn connections(question: Question, file: Option<&Path>) -> Result<(), String> {
-    let answer = connections::answer(question);
-    let played = serde_json::json!({ "question": question, "answer": answer });
-    println!("{}", json(&played)?);
+fn connections(question: Parameters, file: Option<&Path>) -> Result<(), String> {
+    let answer = connections::simulate(question);
+    let result = serde_json::json!({ "question": question, "answer": answer });
+    println!("{}", json(&result)?);
     let Some(path) = file else { return Ok(()) };
     let mut all: Vec<serde_json::Value> = match std::fs::read_to_string(path) {
         Ok(text) => serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))?,
-        Err(_) => Vec::new(), // the first
+        Err(_) => Vec::new(), // the file does not exist yet
     };
-    all.push(played);
+    all.push(result);
     write(path, &(json(&all)? + "\n"))
 }
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -1,15 +1,15 @@
-//! Least-squares fits of a cost by size, and what they forecast of a larger size.
+//! Least-squares fits of a cost by size, and their forecasts of a larger size.
 
 use serde::{Deserialize, Serialize};
 
-/// Relative error of a forecast beyond which a fit is not to be trusted with larger sizes.
-pub const ERROR_MOST: f64 = 0.15;
+/// The largest relative error of a forecast at which a fit may be used for larger sizes.
+pub const MAX_FORECAST_ERROR: f64 = 0.15;
 
-/// How a cost grows with size: intercept plus slope times this.
+/// The term by which a cost grows with size: cost = intercept + slope * term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Form {
-    /// Nothing: the cost is the same at all sizes.
+    /// No term: the cost is the same at all sizes.
     Constant,
     /// The natural logarithm of the size.
     Logarithmic,
@@ -20,10 +20,10 @@
 }
 
 impl Form {
-    /// All forms that grow, the slowest first.
+    /// All forms that grow, the slowest growing first.
     pub const GROWING: [Form; 3] = [Form::Logarithmic, Form::Linear, Form::LinearLogarithmic];
 
-    /// The term that the slope is multiplied by.
+    /// Returns the term at a size.
     pub fn term(self, size: f64) -> f64 {
         match self {
             Form::Constant => 0.0,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// As it is printed: `n` is the size.
+    /// Returns the term as it is printed; `n` is the size.
     pub fn name(self) -> &'static str {
         match self {
             Form::Constant => "of nothing",
@@ -44,12 +44,12 @@
     }
 }
 
-/// One size and what was measured there.
+/// A measurement at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     /// The size.
     pub size: f64,
-    /// The median of what was measured.
+    /// The median of the measured values.
     pub value: f64,
 }
 
@@ -60,14 +60,14 @@
     pub form: Form,
     /// The cost at a term of zero.
     pub intercept: f64,
-    /// The cost for each unit of the term.
+    /// The cost per unit of the term.
     pub slope: f64,
-    /// Root of the mean square of what the curve misses the samples by.
+    /// Root mean square of the samples' distances from the curve.
     pub residual: f64,
 }
 
 impl Fit {
-    /// The curve of this form with the least squares; none where the samples do not determine one.
+    /// Fits a curve of this form by least squares; none if the samples do not determine one.
     pub fn of(form: Form, samples: &[Sample]) -> Option<Fit> {
         let count = samples.len() as f64;
         let terms: Vec<f64> = samples.iter().map(|sample| form.term(sample.size)).collect();
@@ -78,9 +78,9 @@
         if samples.len() < 2 || grows && variance <= f64::EPSILON {
             return None;
         }
-        let together = terms.iter().zip(samples);
+        let pairs = terms.iter().zip(samples);
         let covariance: f64 =
-            together.map(|(term, sample)| (term - mean_term) * (sample.value - mean_value)).sum();
+            pairs.map(|(term, sample)| (term - mean_term) * (sample.value - mean_value)).sum();
         let slope = if grows { covariance / variance } else { 0.0 };
         let intercept = mean_value - slope * mean_term;
         let squares = terms.iter().zip(samples);
@@ -89,7 +89,7 @@
         Some(Fit { form, intercept, slope, residual })
     }
 
-    /// The growing form that misses the samples least; a constant where they do not grow.
+    /// Returns the fit of the growing form with the smallest residual; a constant if no form has a positive slope.
     pub fn best(samples: &[Sample]) -> Option<Fit> {
         let fits = Form::GROWING.into_iter().filter_map(|form| Fit::of(form, samples));
         let growing = fits.filter(|fit| fit.slope > 0.0);
@@ -97,29 +97,29 @@
         best.or_else(|| Fit::of(Form::Constant, samples))
     }
 
-    /// The cost at a size.
+    /// Returns the cost at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * self.form.term(size)
     }
 }
 
-/// A fit of the smaller sizes held against the largest one.
+/// A fit of the smaller sizes, compared with the measurement at the largest one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Check {
     /// The fit of all sizes but the largest.
     pub fit: Fit,
     /// The largest size.
     pub size: f64,
-    /// What the fit forecasts there.
+    /// The fit's forecast at the largest size.
     pub forecast: f64,
-    /// What was measured there.
+    /// The value measured at the largest size.
     pub measured: f64,
-    /// The forecast over what was measured, less one.
+    /// Relative error: forecast / measured - 1.
     pub error: f64,
 }
 
 impl Check {
-    /// Fits all samples but the last, in the form that misses them least, and forecasts the last.
+    /// Fits all samples but the last with the best form and forecasts the last; none if there are too few samples.
     pub fn of(samples: &[Sample]) -> Option<Check> {
         let (last, smaller) = samples.split_last()?;
         let fit = Fit::best(smaller)?;
@@ -128,8 +128,8 @@
         Some(Check { fit, size: last.size, forecast, measured: last.value, error })
     }
 
-    /// Whether the forecast is near enough for the fit to be used beyond the measured sizes.
+    /// Returns whether the forecast is accurate enough to use the fit beyond the measured sizes.
     pub fn holds(&self) -> bool {
-        self.error.abs() <= ERROR_MOST
+        self.error.abs() <= MAX_FORECAST_ERROR
     }
 }
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -1,42 +1,42 @@
-//! A made-up fleet of a given size: its settings, its list and how both are written.
+//! A synthetic fleet of a given size: its settings and server list, as values and as JSON text.
 
 use std::fmt::Write;
 
 use merlinfold_decide::interface::*;
 use serde::{Deserialize, Serialize};
 
-/// A millisecond.
+/// One millisecond, ns.
 pub const MS: Nanos = 1_000_000;
-/// A second.
+/// One second, ns.
 pub const SECOND: Nanos = 1_000 * MS;
 
 const ZONES: u32 = 8;
-const HOSTS: u32 = 250; // in a part of an address
-const CELL: u32 = 4; // servers in a cell
-const LINE_MOST: usize = 192; // bytes
+const HOSTS_PER_OCTET: u32 = 250; // of an address
+const CELL_SERVERS: u32 = 4;
+const MAX_ENTRY_BYTES: usize = 192; // of one server in the list's text
 
-/// How large all is.
+/// The size of a fleet and its load.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, clap::Args)]
 pub struct Size {
-    /// Nodes of the fleet.
+    /// Number of nodes in the fleet.
     #[arg(long, default_value_t = 820)]
     pub nodes: u32,
-    /// Servers in the list.
+    /// Number of servers in the list.
     #[arg(long, default_value_t = 7_900)]
     pub servers: u32,
-    /// Services, each with servers of its own.
+    /// Number of services, each with servers of its own.
     #[arg(long, default_value_t = 1)]
     pub services: u32,
-    /// Tenants with a quota; 0: requests name none.
+    /// Number of tenants with a quota; 0: requests name no tenant.
     #[arg(long, default_value_t = 0)]
     pub tenants: u32,
-    /// Requests a second that come to one node.
+    /// Requests per second that one node receives.
     #[arg(long, default_value_t = 110.0)]
     pub rate: f64,
 }
 
 impl Size {
-    /// The same as arguments of a command line.
+    /// Returns the size as command-line arguments.
     pub fn arguments(&self) -> Vec<String> {
         vec![
             format!("--nodes={}", self.nodes),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What the module is told at its start.
+    /// Returns the settings of the decision module.
     pub fn settings(&self) -> Settings {
         Settings {
             node_index: self.nodes / 3,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// One line of the list.
+    /// Returns one server's entry in the list.
     pub fn entry(&self, server: u32) -> ServerEntry {
         let tag = u64::from(server).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let kind = (server % self.services) as u16;
@@ -93,36 +93,36 @@
         }
     }
 
-    /// The whole list.
+    /// Returns the whole list.
     pub fn entries(&self) -> Vec<ServerEntry> {
         (0..self.servers).map(|server| self.entry(server)).collect()
     }
 
-    /// The whole list as discovery writes it.
+    /// Returns the whole list as the JSON that discovery sends.
     pub fn list_text(&self) -> String {
-        // In one piece: what is given back would be counted as free for what is measured next.
-        let mut text = String::with_capacity(256 + LINE_MOST * self.servers as usize);
+        // Allocated at once: memory freed by growing would be reused and so hide memory that is measured next.
+        let mut text = String::with_capacity(256 + MAX_ENTRY_BYTES * self.servers as usize);
         text.push_str(r#"{"index":41,"snapshot":true,"endpoints":["#);
         for server in 0..self.servers {
             text.push_str(if server > 0 { "," } else { "" });
-            self.write_line(server, &mut text);
+            self.write_entry(server, &mut text);
         }
         text.push_str("]}");
         text
     }
 
-    fn write_line(&self, server: u32, text: &mut String) {
+    fn write_entry(&self, server: u32, text: &mut String) {
         let entry = self.entry(server);
-        let (block, host) = (server / HOSTS, server % HOSTS);
+        let (block, host) = (server / HOSTS_PER_OCTET, server % HOSTS_PER_OCTET);
         // Writing to a string cannot fail.
         let _ = write!(text, r#"{{"name":"s-{:08x}","address":"#, entry.name_hash as u32);
-        let _ = write!(text, r#""10.{}.{}.{host}:8081","#, block / HOSTS, block % HOSTS);
+        let _ = write!(text, r#""10.{}.{}.{host}:8081","#, block / HOSTS_PER_OCTET, block % HOSTS_PER_OCTET);
         let _ = write!(text, r#""zone":"zone-{}","type":"service-{}","#, entry.zone, entry.host_type);
-        let _ = write!(text, r#""group":{},"status":"in_service","#, server / CELL);
+        let _ = write!(text, r#""group":{},"status":"in_service","#, server / CELL_SERVERS);
         text.push_str(r#""weight":1.0,"since_ms":0}"#);
     }
 
-    /// The settings object with these tenants, as the platform writes it.
+    /// Returns the settings object with these tenants, as the platform's JSON.
     pub fn settings_text(&self) -> String {
         let tenant = |n: u32| format!(r#"{{"Name":"tenant-{n}","QuotaPerS":10.0}}"#);
         let tenants: Vec<String> = (0..self.tenants).map(tenant).collect();
@@ -131,7 +131,7 @@
     }
 }
 
-/// How much each service is asked for: all alike, or the n-th one n-th of the first.
+/// Returns the relative request rate of each service: all equal, or, if skewed, 1/n for the n-th.
 pub fn shares(services: u32, skewed: bool) -> Vec<f64> {
     (1..=services).map(|n| if skewed { 1.0 / f64::from(n) } else { 1.0 }).collect()
 }
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,8 +1,8 @@
-//! What a node's data plane costs by the size of the fleet: servers, services and tenants.
+//! Measures what a node's data plane costs, by the number of servers, services and tenants.
 //!
-//! A service stands here for what the settings can express of one: a class of requests that may run only on its own
-//! kind of machine. Each point of a range is measured in a process of its own, so that what one size leaves behind in
-//! memory and caches does not count for the next.
+//! The settings have no services, so a service is modelled as a class of requests that may run only on its own host type.
+//! Each point of a range is measured in a process of its own, so that memory and caches left by one size do not affect
+//! the next.
 
 pub mod command;
 pub mod connections;
--- a/crates/lab/src/capacity/model.rs
+++ b/crates/lab/src/capacity/model.rs
@@ -1,4 +1,4 @@
-//! A node's decision module in virtual time, with the processor time that it takes.
+//! Runs a node's decision module in virtual time and measures its processor time.
 
 use std::collections::VecDeque;
 
@@ -8,69 +8,69 @@
 use super::fleet::{Size, MS, SECOND};
 use super::stopwatch::Stopwatch;
 
-/// How long a server takes over a request.
+/// Time that a server takes to answer a request.
 pub const SERVICE_TIME: Nanos = 5 * MS;
-/// The module's time between rounds of housekeeping.
+/// Interval of the module's housekeeping ticks.
 pub const TICK: Nanos = 50 * MS;
 
-const START: Nanos = 100 * SECOND; // of the node's clock
+const START_TIME: Nanos = 100 * SECOND; // on the node's clock
 const SEED: u64 = 7;
 
-/// An attempt that went out.
+/// An attempt that the module sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// Of which request.
+    /// The request of the attempt.
     pub id: RequestId,
-    /// Where to.
+    /// The server that it was sent to.
     pub server: ServerId,
-    /// When.
+    /// The time at which it was sent.
     pub at: Nanos,
 }
 
-/// What comes next.
+/// The next event of the simulation.
 enum Step {
     Request,
     Tick,
     Outcome,
 }
 
-/// A node before servers that answer everything after the same time.
+/// A node whose servers answer every request after [`SERVICE_TIME`].
 pub struct Node {
     balancer: Balancer,
     rng: fastrand::Rng,
     size: Size,
-    cumulative: Vec<f64>, // shares of the services, added up
+    cumulative: Vec<f64>, // cumulative shares of the services' requests
     now: Nanos,
     next_request: Nanos,
     next_tick: Nanos,
-    under_way: VecDeque<Sent>, // in the order of their answers
+    in_flight: VecDeque<Sent>, // in the order of their answers
     last_id: u64,
     actions: Vec<Action>,
     sent: Vec<Sent>,
     /// Processor time of requests and their outcomes.
     pub decisions: Stopwatch,
-    /// Processor time of everything else that the module was handed.
+    /// Processor time of all other events.
     pub others: Stopwatch,
 }
 
 impl Node {
-    /// A node that holds the list; `shares` says how much each service is asked for.
+    /// Creates a node with this server list; `shares` has the relative request rate of each service.
     pub fn new(size: Size, shares: &[f64], entries: Vec<ServerEntry>) -> Self {
-        let all: f64 = shares.iter().sum();
+        let total: f64 = shares.iter().sum();
         let mut sum = 0.0;
-        let added_up = shares.iter().map(|share| {
-            sum += share / all;
+        let cumulative = shares.iter().map(|share| {
+            sum += share / total;
             sum
         });
         let mut node = Node {
             balancer: Balancer::new(size.settings(), SEED),
             rng: fastrand::Rng::with_seed(SEED),
             size,
-            cumulative: added_up.collect(),
-            now: START,
-            next_request: START,
-            next_tick: START + TICK,
-            under_way: VecDeque::new(),
+            cumulative: cumulative.collect(),
+            now: START_TIME,
+            next_request: START_TIME,
+            next_tick: START_TIME + TICK,
+            in_flight: VecDeque::new(),
             last_id: 0,
             actions: Vec::new(),
             sent: Vec::new(),
@@ -81,22 +81,22 @@
         node
     }
 
-    /// Now.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// Hands the module a list, or a change of one.
+    /// Passes a list, or a change of one, to the module.
     pub fn servers(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
-        self.give_other(Event::Servers { kind, entries });
+        self.handle_other(Event::Servers { kind, entries });
     }
 
-    /// One round of housekeeping, out of turn.
+    /// Runs one extra housekeeping tick.
     pub fn tick(&mut self) {
-        self.give_other(Event::Timer(0));
+        self.handle_other(Event::Timer(0));
     }
 
-    /// Lets so many requests come, and all that happens in between; what was sent meanwhile.
+    /// Simulates this many requests with all ticks and outcomes between them; returns the attempts sent.
     pub fn serve(&mut self, requests: u64) -> Vec<Sent> {
         let until = self.last_id + requests;
         while self.last_id < until {
@@ -118,7 +118,7 @@
     }
 
     fn next_step(&self) -> Step {
-        let outcome = self.under_way.front().map_or(Nanos::MAX, |sent| sent.at + SERVICE_TIME);
+        let outcome = self.in_flight.front().map_or(Nanos::MAX, |sent| sent.at + SERVICE_TIME);
         if outcome <= self.next_tick.min(self.next_request) {
             Step::Outcome
         } else if self.next_tick <= self.next_request {
@@ -135,8 +135,8 @@
         self.last_id += 1;
         let request = Request {
             id: RequestId(self.last_id),
-            class: self.draw_service(),
-            tenant: self.draw_tenant(),
+            class: self.sample_service(),
+            tenant: self.sample_tenant(),
             key: None,
             client_timeout: 700 * MS,
             cost_hint: None,
@@ -147,7 +147,7 @@
     }
 
     fn outcome(&mut self) {
-        let Some(sent) = self.under_way.pop_front() else { return };
+        let Some(sent) = self.in_flight.pop_front() else { return };
         self.now = sent.at + SERVICE_TIME;
         self.decide(Event::Outcome {
             id: sent.id,
@@ -163,32 +163,32 @@
     fn decide(&mut self, event: Event) {
         let (balancer, actions, now) = (&mut self.balancer, &mut self.actions, self.now);
         self.decisions.time(|| balancer.handle(now, event, actions));
-        self.carry_out();
+        self.record_attempts();
     }
 
-    fn give_other(&mut self, event: Event) {
+    fn handle_other(&mut self, event: Event) {
         let (balancer, actions, now) = (&mut self.balancer, &mut self.actions, self.now);
         self.others.time(|| balancer.handle(now, event, actions));
-        self.carry_out();
+        self.record_attempts();
     }
 
-    fn carry_out(&mut self) {
+    fn record_attempts(&mut self) {
         for action in self.actions.drain(..) {
             if let Action::Send { id, server, .. } = action {
                 let sent = Sent { id, server, at: self.now };
-                self.under_way.push_back(sent);
+                self.in_flight.push_back(sent);
                 self.sent.push(sent);
             }
         }
     }
 
-    fn draw_service(&mut self) -> usize {
+    fn sample_service(&mut self) -> usize {
         let at = self.rng.f64();
         self.cumulative.partition_point(|sum| *sum < at).min(self.cumulative.len() - 1)
     }
 
-    /// Each in turn, so that all have a rate, then at random.
-    fn draw_tenant(&mut self) -> Option<usize> {
+    /// Returns each tenant once in turn, so that all have a measured rate, then random ones.
+    fn sample_tenant(&mut self) -> Option<usize> {
         let tenants = self.size.tenants as usize;
         let in_turn = (self.last_id as usize).checked_sub(1).filter(|&turn| turn < tenants);
         in_turn.or_else(|| (tenants > 0).then(|| self.rng.usize(0..tenants)))
--- a/crates/lab/src/capacity/point.rs
+++ b/crates/lab/src/capacity/point.rs
@@ -1,4 +1,4 @@
-//! One point of a range: all that is measured at one size, in this process.
+//! Measures one point of a range: all figures at one size, in this process.
 
 use std::hint::black_box;
 
@@ -9,59 +9,59 @@
 
 use super::fleet::{shares, Size};
 use super::model::Node;
-use super::stopwatch::{resident, Stopwatch};
+use super::stopwatch::{resident_bytes, Stopwatch};
 
-const WARM_UP: u64 = 2_000; // requests before any is measured, or one of each tenant
-const BATCHES: usize = 5; // of which the median counts
-const BATCH: u64 = 1_000; // requests
-const TICKS: usize = 200;
-const CHANGES: usize = 50; // in a batch
-const LISTS: usize = 5;
+const WARM_UP: u64 = 2_000; // requests before the measurement; at least one per tenant
+const BATCHES: usize = 5; // the median is reported
+const BATCH_REQUESTS: u64 = 1_000;
+const BATCH_TICKS: usize = 200;
+const BATCH_CHANGES: usize = 50;
+const LIST_REPEATS: usize = 5; // the median is reported
 
-/// What was measured at one size. Times are processor time of one thread.
+/// The figures at one size. Times are processor time of one thread.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
     /// The size.
     pub size: Size,
-    /// A request and its outcome in the module, us.
+    /// Time of a request and its outcome in the module, us.
     pub decision_us: f64,
-    /// A round of housekeeping, of which there are 20 a second, us.
+    /// Time of a housekeeping tick, of which there are 20 per second, us.
     pub tick_us: f64,
-    /// The first list, into a module that knows none, ms.
+    /// Time to apply a list in a module that has none yet, ms.
     pub first_list_ms: f64,
-    /// A whole list that says what is known already, ms.
+    /// Time to apply a whole list that changes nothing, ms.
     pub whole_list_ms: f64,
-    /// A change of one server, us.
+    /// Time to apply a change of one server, us.
     pub change_us: f64,
-    /// The list's text into its lines, ms.
+    /// Time to parse the list's text, ms.
     pub parse_ms: f64,
-    /// Numbers for the names of a list that is new, ms.
+    /// Time to assign numbers to the names of a new list, ms.
     pub names_ms: f64,
     /// Length of the list's text, bytes.
     pub list_bytes: f64,
-    /// The settings' text into what the module is told, ms.
+    /// Time to convert the settings' text to the module's settings, ms.
     pub settings_ms: f64,
     /// Length of the settings' text, bytes.
     pub settings_bytes: f64,
     /// Resident memory of the module with its list, after the warm-up, MB.
     pub module_mb: f64,
-    /// Resident memory of the list's lines while they are taken in, MB.
+    /// Resident memory of the parsed list, MB.
     pub lines_mb: f64,
 }
 
-/// The middle one of some measurements; 0 of none.
+/// Returns the median of the values; 0 if there are none.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
 fn megabytes(before: u64) -> f64 {
-    resident().saturating_sub(before) as f64 / f64::from(1 << 20)
+    resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)
 }
 
-/// Measures everything at this size.
+/// Measures all figures at this size. Returns an error if the list or settings text cannot be parsed.
 pub fn measure(size: Size) -> Result<Point, String> {
-    let before = resident();
+    let before = resident_bytes();
     let mut node = Node::new(size, &shares(size.services, false), size.entries());
     let first_list_ms = node.others.take() / 1e6;
     node.serve(WARM_UP.max(u64::from(size.tenants)));
@@ -69,17 +69,20 @@
     let decision_us = median((0..BATCHES).map(|_| decision_us(&mut node)).collect());
     let tick_us = median((0..BATCHES).map(|_| tick_us(&mut node)).collect());
     let change_us = median((0..BATCHES).map(|_| change_us(&mut node, size)).collect());
-    let whole_list_ms = median((0..LISTS).map(|_| whole_list_ms(&mut node, size)).collect());
-    // The module is still there: what it holds must not be counted as free for the lines.
+    let whole_list_ms = median((0..LIST_REPEATS).map(|_| whole_list_ms(&mut node, size)).collect());
+    // The module stays alive here, so that its memory cannot be reused for the parsed list.
     let text = size.list_text();
-    let before = resident();
+    let before = resident_bytes();
     let list = parse(&text)?;
     let lines_mb = megabytes(before);
-    let parse_ms = median((0..LISTS).map(|_| timed_ms(|| parse(&text).map(black_box).is_ok())).collect());
-    let names_ms = median((0..LISTS).map(|_| timed_ms(|| black_box(number(&list)).len())).collect());
+    let parse_ms =
+        median((0..LIST_REPEATS).map(|_| timed_ms(|| parse(&text).map(black_box).is_ok())).collect());
+    let names_ms =
+        median((0..LIST_REPEATS).map(|_| timed_ms(|| black_box(assign_numbers(&list)).len())).collect());
     let settings_text = size.settings_text();
     read_settings(&settings_text)?;
-    let settings_ms = (0..LISTS).map(|_| timed_ms(|| read_settings(&settings_text).map(black_box).is_ok()));
+    let settings_ms =
+        (0..LIST_REPEATS).map(|_| timed_ms(|| read_settings(&settings_text).map(black_box).is_ok()));
     Ok(Point {
         size,
         decision_us,
@@ -105,25 +108,25 @@
 
 fn decision_us(node: &mut Node) -> f64 {
     node.decisions.take();
-    node.serve(BATCH);
-    node.decisions.take() / 1e3 / BATCH as f64
+    node.serve(BATCH_REQUESTS);
+    node.decisions.take() / 1e3 / BATCH_REQUESTS as f64
 }
 
 fn tick_us(node: &mut Node) -> f64 {
     node.others.take();
-    (0..TICKS).for_each(|_| node.tick());
-    node.others.take() / 1e3 / TICKS as f64
+    (0..BATCH_TICKS).for_each(|_| node.tick());
+    node.others.take() / 1e3 / BATCH_TICKS as f64
 }
 
-/// Servers far apart in the list begin to drain and come back.
+/// Measures changes in which servers far apart in the list start to drain and become ready again.
 fn change_us(node: &mut Node, size: Size) -> f64 {
     node.others.take();
-    for n in 0..CHANGES {
+    for n in 0..BATCH_CHANGES {
         let server = (n / 2) as u32 * 7_919 % size.servers;
         let readiness = if n % 2 == 0 { Readiness::Draining } else { Readiness::Ready };
         node.servers(ListKind::Partial, vec![ServerEntry { readiness, ..size.entry(server) }]);
     }
-    node.others.take() / 1e3 / CHANGES as f64
+    node.others.take() / 1e3 / BATCH_CHANGES as f64
 }
 
 fn whole_list_ms(node: &mut Node, size: Size) -> f64 {
@@ -134,10 +137,10 @@
 }
 
 fn parse(text: &str) -> Result<ServerList, String> {
-    serde_json::from_slice(text.as_bytes()).map_err(|error| format!("list: {error}"))
+    serde_json::from_slice(text.as_bytes()).map_err(|error| format!("cannot parse the list: {error}"))
 }
 
-fn number(list: &ServerList) -> Vec<ServerEntry> {
+fn assign_numbers(list: &ServerList) -> Vec<ServerEntry> {
     let mut names = NameTables::default();
     let listed = list.endpoints.iter().map(|line| NamedServer {
         name: &line.name,
@@ -152,6 +155,7 @@
 }
 
 fn read_settings(text: &str) -> Result<Settings, String> {
-    let env: PlatformSettings = serde_json::from_str(text).map_err(|error| format!("settings: {error}"))?;
+    let env: PlatformSettings =
+        serde_json::from_str(text).map_err(|error| format!("cannot parse the settings: {error}"))?;
     env.decision_settings(&mut NameTables::default())
 }
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -1,52 +1,52 @@
-//! A range of sizes as a table and as JSON.
+//! The report of a range of sizes, as a table and as JSON.
 
 use std::fmt::Write;
 
 use serde::{Deserialize, Serialize};
 
-use super::fit::{Check, Sample, ERROR_MOST};
+use super::fit::{Check, Sample, MAX_FORECAST_ERROR};
 use super::point::Point;
 
 /// Version of the JSON form.
 pub const SCHEMA: u32 = 1;
 
-/// One figure by one size.
+/// One figure as a function of one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
     /// The figure's name; its unit is the last word.
     pub figure: String,
-    /// What `size` counts.
+    /// What the size counts.
     pub by: String,
-    /// What was the same at all sizes.
+    /// The dimensions that were constant, with their values.
     pub held: String,
-    /// Medians, the smallest size first.
+    /// Median values, the smallest size first.
     pub samples: Vec<Sample>,
-    /// The fit of all sizes but the largest, and how it forecasts that one.
+    /// The fit of all sizes but the largest, and its forecast of the largest; none if there are too few sizes.
     pub check: Option<Check>,
 }
 
-/// All of a range.
+/// All measurements of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Version of this form.
     pub schema: u32,
-    /// The command that makes it again.
+    /// The command that reproduces the report.
     pub command: String,
-    /// How often each point was measured, each time in a process of its own; the median counts.
+    /// How often each point was measured, each time in a process of its own; the median is reported.
     pub repeats: usize,
-    /// What was measured, by size.
+    /// The measurements, by size.
     pub points: Vec<Point>,
-    /// The same by figure, with fits.
+    /// The same measurements by figure, with fits.
     pub series: Vec<Series>,
 }
 
 impl Report {
-    /// As JSON.
+    /// Returns the report as JSON.
     pub fn json(&self) -> Result<String, String> {
         serde_json::to_string_pretty(self).map(|text| text + "\n").map_err(|error| error.to_string())
     }
 
-    /// For people: each figure at its sizes, then the fits.
+    /// Returns a table for people: each figure at its sizes, with its fit.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for series in &self.series {
@@ -64,7 +64,8 @@
 fn verdict(check: Option<&Check>) -> String {
     let Some(check) = check else { return "no fit: too few sizes".to_owned() };
     let fit = &check.fit;
-    let holds = if check.holds() { "holds".to_owned() } else { format!("over {:.0}%", 100.0 * ERROR_MOST) };
+    let holds =
+        if check.holds() { "holds".to_owned() } else { format!("over {:.0}%", 100.0 * MAX_FORECAST_ERROR) };
     format!(
         "fit {:.4} + {:.6} {}, residual {:.4}; forecast at {}: {:.3}, measured {:.3}, error {:+.1}%: {holds}",
         fit.intercept,
--- a/crates/lab/src/capacity/stopwatch.rs
+++ b/crates/lab/src/capacity/stopwatch.rs
@@ -1,40 +1,40 @@
-//! Processor time of this thread, and resident memory of this process.
+//! Measures the processor time of this thread and the resident memory of this process.
 
 use rustix::time::{clock_gettime, ClockId};
 
-const CALIBRATION: u32 = 10_000; // readings from which the cost of one is known
+const CALIBRATION_READS: u32 = 10_000; // to measure the cost of reading the clock
 
-/// Processor time that this thread has used, ns.
+/// Returns the processor time that this thread has used, ns.
 fn thread_time() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e9 + time.tv_nsec as f64
 }
 
-/// Adds up processor time between start and stop, without what reading the clock takes.
+/// Sums the processor time of pieces of work, less the cost of reading the clock.
 pub struct Stopwatch {
     overhead: f64,
     total: f64,
 }
 
 impl Stopwatch {
-    /// One that stands at zero.
+    /// Creates a stopwatch at zero and measures the cost of reading the clock.
     pub fn new() -> Self {
         let mut watch = Stopwatch { overhead: 0.0, total: 0.0 };
-        (0..CALIBRATION).for_each(|_| watch.time(|| ()));
-        watch.overhead = watch.total / f64::from(CALIBRATION);
+        (0..CALIBRATION_READS).for_each(|_| watch.time(|| ()));
+        watch.overhead = watch.total / f64::from(CALIBRATION_READS);
         watch.total = 0.0;
         watch
     }
 
-    /// Runs this and adds what it took.
+    /// Runs `work` and adds the processor time that it used.
     pub fn time<T>(&mut self, work: impl FnOnce() -> T) -> T {
-        let begun = thread_time();
-        let made = work();
-        self.total += (thread_time() - begun - self.overhead).max(0.0);
-        made
+        let started = thread_time();
+        let result = work();
+        self.total += (thread_time() - started - self.overhead).max(0.0);
+        result
     }
 
-    /// What it stands at, ns; it starts again from zero.
+    /// Returns the sum, ns, and resets it to zero.
     pub fn take(&mut self) -> f64 {
         std::mem::take(&mut self.total)
     }
@@ -46,8 +46,8 @@
     }
 }
 
-/// Resident memory of this process that no file stands behind, bytes; 0 where the kernel does not say.
-pub fn resident() -> u64 {
+/// Returns the resident anonymous memory of this process, bytes; 0 if the kernel does not report it.
+pub fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("RssAnon:"));
     let kib = line.and_then(|line| line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok());
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -137,7 +137,7 @@
                 experiments::find(name).map(|day| println!("{name:<30} {}", day.question))
             })
             .map(|()| ExitCode::SUCCESS),
-        Command::Capacity { command } => capacity::command::carry_out(command),
+        Command::Capacity { command } => capacity::command::execute(command),
         other => runtime().and_then(|runtime| runtime.block_on(until_ended(other))),
     };
     ended.unwrap_or_else(|fault| {
@@ -211,7 +211,7 @@
             cost([command(common.node.as_deref())?, bare], "node", "forwarder", pairs).await
         }
         Command::Closed(closed) => merlinfold_lab::closed::run(&closed).await,
-        Command::Scale { command } => scale::command::carry_out(command).await,
+        Command::Scale { command } => scale::command::execute(command).await,
         Command::Trial { command } => trial::command::execute(command).await,
         Command::List | Command::Node { .. } | Command::Capacity { .. } => Ok(ExitCode::SUCCESS),
     }
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -1,11 +1,11 @@
-//! A straight line through measurements by least squares, and how well it forecasts the largest of them.
+//! Fits a line to measurements by least squares and checks how well it forecasts the largest of them.
 
 use serde::Serialize;
 
-/// Share by which a forecast may miss the measurement until the line is not to be relied on.
-pub const MISS_MAX: f64 = 0.15;
-/// Points below which a line says nothing about its own error.
-const POINTS_MIN: usize = 3;
+/// The largest relative error of a forecast for which the line counts as reliable.
+pub const MAX_FORECAST_ERROR: f64 = 0.15;
+/// Fewer points say nothing about the error of a line.
+const MIN_POINTS: usize = 3;
 
 /// One measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -16,21 +16,21 @@
     pub cost: f64,
 }
 
-/// A line through points.
+/// A line fitted to points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
     /// Cost at size 0.
     pub intercept: f64,
-    /// Further cost for each unit of size.
+    /// Additional cost per unit of size.
     pub slope: f64,
-    /// Root mean square of what the points are off the line.
+    /// Root mean square of the points' distances from the line, in units of cost.
     pub residual: f64,
 }
 
 impl Fit {
-    /// Through at least three points of at least two sizes; none where there are fewer.
+    /// Fits a line to at least three points of at least two sizes; none if there are fewer.
     pub fn of(points: &[Point]) -> Option<Fit> {
-        if points.len() < POINTS_MIN {
+        if points.len() < MIN_POINTS {
             return None;
         }
         let count = points.len() as f64;
@@ -40,40 +40,41 @@
         if spread == 0.0 {
             return None;
         }
-        let common: f64 =
+        let covariance: f64 =
             points.iter().map(|point| (point.size - mean_size) * (point.cost - mean_cost)).sum();
-        let slope = common / spread;
+        let slope = covariance / spread;
         let intercept = mean_cost - slope * mean_size;
-        let off = |point: &Point| (point.cost - intercept - slope * point.size).powi(2);
-        let residual = (points.iter().map(off).sum::<f64>() / count).sqrt();
+        let squared_error = |point: &Point| (point.cost - intercept - slope * point.size).powi(2);
+        let residual = (points.iter().map(squared_error).sum::<f64>() / count).sqrt();
         Some(Fit { intercept, slope, residual })
     }
 
-    /// The line's cost at a size.
+    /// Returns the line's cost at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// A line through all points but the largest, held against that one.
+/// A line fitted to all points but the largest, compared with the largest.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Forecast {
     /// The line.
     pub fit: Fit,
     /// The largest size.
     pub size: f64,
-    /// The line's cost there.
+    /// The line's cost at the largest size.
     pub forecast: f64,
-    /// The cost measured there.
+    /// The cost measured at the largest size.
     pub measured: f64,
-    /// Share of the measured cost by which the line misses it: positive where it says too much.
+    /// Relative error of the forecast; positive if the forecast is too high.
     pub error: f64,
-    /// Whether that is within [`MISS_MAX`].
+    /// Whether the error is within [`MAX_FORECAST_ERROR`].
     pub holds: bool,
 }
 
 impl Forecast {
-    /// From the smaller points on the largest; none without three smaller ones or where nothing was measured.
+    /// Forecasts the largest point from the smaller ones; none with fewer than three smaller points or if the largest cost
+    /// is 0.
     pub fn of(points: &[Point]) -> Option<Forecast> {
         let largest = points.iter().copied().max_by(|a, b| a.size.total_cmp(&b.size))?;
         let smaller: Vec<Point> = points.iter().copied().filter(|point| point.size < largest.size).collect();
@@ -83,7 +84,7 @@
             return None;
         }
         let error = (forecast - largest.cost) / largest.cost;
-        let holds = error.abs() <= MISS_MAX;
+        let holds = error.abs() <= MAX_FORECAST_ERROR;
         Some(Forecast { fit, size: largest.size, forecast, measured: largest.cost, error, holds })
     }
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,6 +1,6 @@
-//! A process of hollow nodes: the real control part (`merlinfold_fleet`) of many nodes on one thread, without a data
-//! plane. It takes [`Order`]s on standard input, ends with it, and tells a [`Sample`] on standard output every
-//! [`SAMPLE_EVERY`].
+//! A process of hollow nodes: the real control plane (`merlinfold_fleet`) of many nodes on one thread, without a data
+//! plane. It reads [`Order`]s from standard input until that ends, and writes a [`Sample`] to standard output every
+//! [`SAMPLE_INTERVAL`].
 
 use std::collections::BTreeMap;
 use std::future::{poll_fn, Future};
@@ -21,16 +21,16 @@
 use super::resources::{anonymous_memory_kib, monotonic, thread_cpu};
 
 /// Time between two samples.
-pub const SAMPLE_EVERY: Duration = Duration::from_millis(250);
+pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 const VALUE_BYTES: usize = 64; // of a proposed value
 
-/// Processor time that is added up over many polls.
+/// Sums the processor time of futures over their polls.
 #[derive(Clone, Debug, Default)]
-struct Meter(Arc<AtomicU64>);
+struct CpuMeter(Arc<AtomicU64>);
 
-impl Meter {
-    /// Runs the future and counts the thread's processor time in it.
-    async fn count<F: Future>(self, future: F) -> F::Output {
+impl CpuMeter {
+    /// Runs the future and adds the thread's processor time in its polls.
+    async fn measure<F: Future>(self, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|context| {
             let before = thread_cpu();
@@ -46,25 +46,25 @@
     }
 }
 
-/// A hollow node that runs.
-struct Running {
+/// The running instance of a hollow node.
+struct RunningNode {
     task: AbortHandle,
     seen: watch::Receiver<Snapshot>,
     log: Option<LogHandle>,
-    _leave: watch::Sender<bool>, // its drop would tell the node to leave
+    _leave: watch::Sender<bool>, // dropping it would make the node leave the fleet
 }
 
-/// A hollow node over all its starts.
+/// A hollow node across all its starts.
 #[derive(Default)]
-struct Hosted {
-    meter: Meter,
-    before: NodeSample, // counts of starts that have ended
-    running: Option<Running>,
+struct HollowNode {
+    meter: CpuMeter,
+    past_counts: NodeSample, // counts of the starts that have ended
+    running: Option<RunningNode>,
 }
 
-impl Hosted {
+impl HollowNode {
     fn sample(&self, node: usize) -> NodeSample {
-        let mut sample = NodeSample { node, cpu: self.meter.used(), ..self.before.clone() };
+        let mut sample = NodeSample { node, cpu: self.meter.used(), ..self.past_counts.clone() };
         let Some(running) = &self.running else { return sample };
         {
             let seen = running.seen.borrow();
@@ -91,7 +91,7 @@
         let Some(running) = self.running.take() else { return };
         running.task.abort();
         let NodeSample { messages, bytes, log_messages, log_bytes, accused, held_up, .. } = last;
-        self.before = NodeSample {
+        self.past_counts = NodeSample {
             messages,
             bytes,
             log_messages,
@@ -103,72 +103,74 @@
     }
 }
 
-/// What has been measured since the last sample.
+/// Outcomes of proposals since the last sample.
 #[derive(Default)]
-struct Since {
+struct ProposalOutcomes {
     confirmed: Vec<Nanos>,
     unconfirmed: u64,
 }
 
-type Shared = Arc<Mutex<Since>>;
+type SharedOutcomes = Arc<Mutex<ProposalOutcomes>>;
 
-fn lock(shared: &Shared) -> std::sync::MutexGuard<'_, Since> {
+fn lock(shared: &SharedOutcomes) -> std::sync::MutexGuard<'_, ProposalOutcomes> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// All hollow nodes of this process.
 struct Host {
     plan: Option<FleetPlan>,
-    nodes: BTreeMap<usize, Hosted>,
-    measuring: Meter,
-    since: Shared,
+    nodes: BTreeMap<usize, HollowNode>,
+    measuring: CpuMeter,
+    outcomes: SharedOutcomes,
     empty_memory_kib: u64,
 }
 
-/// Hosts hollow nodes until standard input ends.
+/// Runs hollow nodes until standard input ends.
 pub async fn run() -> Result<(), String> {
     let mut orders = read_lines::<Order>();
     let mut host = Host {
         plan: None,
         nodes: BTreeMap::new(),
-        measuring: Meter::default(),
-        since: Shared::default(),
+        measuring: CpuMeter::default(),
+        outcomes: SharedOutcomes::default(),
         empty_memory_kib: anonymous_memory_kib("self").unwrap_or(0),
     };
-    let mut samples = interval(SAMPLE_EVERY);
+    let mut samples = interval(SAMPLE_INTERVAL);
     samples.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             order = orders.recv() => match order {
-                Some(order) => host.carry_out(order?)?,
+                Some(order) => host.apply(order?)?,
                 None => return Ok(()),
             },
             due = samples.tick() => {
                 let (measuring, lateness) = (host.measuring.clone(), due.elapsed());
-                measuring.count(async { host.tell(lateness) }).await?;
+                measuring.measure(async { host.write_sample(lateness) }).await?;
             }
         }
     }
 }
 
-/// Lines of standard input, read on a thread of their own.
+/// Parses the lines of standard input on a thread of its own.
 pub fn read_lines<T: serde::de::DeserializeOwned + Send + 'static>(
 ) -> mpsc::UnboundedReceiver<Result<T, String>> {
-    let (tell, told) = mpsc::unbounded_channel();
+    let (sender, receiver) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lines() {
-            let read = line.map_err(|error| format!("standard input: {error}"));
-            let order =
-                read.and_then(|line| serde_json::from_str(&line).map_err(|error| format!("order: {error}")));
-            if tell.send(order).is_err() {
+            let read = line.map_err(|error| format!("cannot read standard input: {error}"));
+            let order = read.and_then(|line| {
+                serde_json::from_str(&line).map_err(|error| format!("cannot parse an order: {error}"))
+            });
+            if sender.send(order).is_err() {
                 return;
             }
         }
     });
-    told
+    receiver
 }
 
 impl Host {
-    fn carry_out(&mut self, order: Order) -> Result<(), String> {
+    fn apply(&mut self, order: Order) -> Result<(), String> {
         match order {
             Order::SetUp(plan) => self.plan = Some(plan),
             Order::Start(nodes) => nodes.into_iter().try_for_each(|node| self.start(node))?,
@@ -185,29 +187,29 @@
     }
 
     fn start(&mut self, node: usize) -> Result<(), String> {
-        let plan = self.plan.as_ref().ok_or("a node is started before the fleet is set up")?;
-        let config: Config = parse(&plan.table(node)).map_err(|fault| fault.to_string())?;
-        let settings = config.fleet.ok_or("no fleet in the table of a node")?;
+        let plan = self.plan.as_ref().ok_or("received an order to start a node before the set-up")?;
+        let config: Config = parse(&plan.table(node)).map_err(|error| error.to_string())?;
+        let settings = config.fleet.ok_or("a node's configuration has no [fleet] table")?;
         let opened = Fleet::open(&format!("n{node}"), settings);
-        let (fleet, seen) = opened.map_err(|error| format!("node {node}: {error}"))?;
+        let (fleet, seen) = opened.map_err(|error| format!("cannot open node {node}: {error}"))?;
         let log = fleet.log_handle();
-        let (leave, leaves) = watch::channel(false);
+        let (leave, leave_requested) = watch::channel(false);
         let hosted = self.nodes.entry(node).or_default();
-        let task = tokio::spawn(hosted.meter.clone().count(fleet.run(leaves))).abort_handle();
-        hosted.running = Some(Running { task, seen, log, _leave: leave });
+        let task = tokio::spawn(hosted.meter.clone().measure(fleet.run(leave_requested))).abort_handle();
+        hosted.running = Some(RunningNode { task, seen, log, _leave: leave });
         Ok(())
     }
 
     fn propose(&mut self, proposals: Proposals) {
         let log = self.nodes.get(&proposals.node).and_then(|hosted| hosted.running.as_ref()?.log.clone());
         if let Some(log) = log {
-            let proposing = propose(log, proposals, self.since.clone(), self.measuring.clone());
-            tokio::spawn(self.measuring.clone().count(proposing));
+            let proposer = propose(log, proposals, self.outcomes.clone(), self.measuring.clone());
+            tokio::spawn(self.measuring.clone().measure(proposer));
         }
     }
 
-    fn tell(&mut self, lateness: Duration) -> Result<(), String> {
-        let Since { confirmed, unconfirmed } = std::mem::take(&mut *lock(&self.since));
+    fn write_sample(&mut self, lateness: Duration) -> Result<(), String> {
+        let ProposalOutcomes { confirmed, unconfirmed } = std::mem::take(&mut *lock(&self.outcomes));
         let sample = Sample {
             at: monotonic(),
             thread_cpu: thread_cpu(),
@@ -219,26 +221,27 @@
             unconfirmed,
             nodes: self.nodes.iter().map(|(node, hosted)| hosted.sample(*node)).collect(),
         };
-        let line = serde_json::to_string(&sample).map_err(|error| format!("sample: {error}"))?;
+        let line =
+            serde_json::to_string(&sample).map_err(|error| format!("cannot serialize a sample: {error}"))?;
         let mut out = std::io::stdout().lock();
         writeln!(out, "{line}")
             .and_then(|()| out.flush())
-            .map_err(|error| format!("standard output: {error}"))
+            .map_err(|error| format!("cannot write to standard output: {error}"))
     }
 }
 
-async fn propose(log: LogHandle, proposals: Proposals, since: Shared, measuring: Meter) {
+async fn propose(log: LogHandle, proposals: Proposals, outcomes: SharedOutcomes, measuring: CpuMeter) {
     for turn in 0..proposals.count.unwrap_or(u64::MAX) {
         sleep(Duration::from_millis(proposals.every_ms)).await;
-        let (log, since) = (log.clone(), since.clone());
+        let (log, outcomes) = (log.clone(), outcomes.clone());
         let key = format!("key-{}", turn % proposals.keys.max(1));
         let value = vec![b'v'; VALUE_BYTES];
-        tokio::spawn(measuring.clone().count(async move {
+        tokio::spawn(measuring.clone().measure(async move {
             let begun = Instant::now();
             let id = u128::from(monotonic()) << 64 | u128::from(turn);
             match log.set(id, key, value, None).await {
-                Ok(_) => lock(&since).confirmed.push(begun.elapsed().as_nanos() as Nanos),
-                Err(_) => lock(&since).unconfirmed += 1,
+                Ok(_) => lock(&outcomes).confirmed.push(begun.elapsed().as_nanos() as Nanos),
+                Err(_) => lock(&outcomes).unconfirmed += 1,
             }
         }));
     }
--- a/crates/lab/src/scale/limits.rs
+++ b/crates/lab/src/scale/limits.rs
@@ -1,25 +1,25 @@
-//! What control may cost a node, and by how much a run was over it.
+//! Limits of the control plane's cost for a node, and a run's cost as multiples of them.
 
 use serde::Serialize;
 
 use super::faults::Worst;
 
-/// What control may cost a node.
+/// Limits of the control plane's cost for a node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Limits {
-    /// Processor time of a second, us.
+    /// Processor time per second, us.
     pub cpu_us_s: f64,
     /// Memory, KiB.
     pub memory_kib: f64,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_s: f64,
 }
 
 impl Limits {
-    /// Of the size that is to be reached: 1.4% of a core, 128 MB, 3 KB/s.
+    /// Limits at the target fleet size: 1.4% of a core, 128 MB, 3 KB/s.
     pub const CONTROL: Limits = Limits { cpu_us_s: 14_000.0, memory_kib: 128.0 * 1_024.0, bytes_s: 3_000.0 };
 
-    /// Each worst figure over its limit.
+    /// Divides each of the worst figures by its limit.
     pub fn overshoot(&self, worst: &Worst, memory_kib: f64) -> Overshoot {
         Overshoot {
             mean_cpu: worst.mean_cpu_us_s / self.cpu_us_s,
@@ -31,14 +31,14 @@
     }
 }
 
-/// Worst figures as multiples of their limits: over 1 is over the limit.
+/// Worst figures as multiples of their limits; a value above 1 exceeds the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Overshoot {
-    /// Processor time on the mean of all nodes.
+    /// Processor time, mean of all nodes.
     pub mean_cpu: f64,
     /// Processor time of the node that used most.
     pub max_cpu: f64,
-    /// Bytes on the mean of all nodes.
+    /// Bytes, mean of all nodes.
     pub mean_bytes: f64,
     /// Bytes of the node that sent most.
     pub max_bytes: f64,
@@ -47,17 +47,17 @@
 }
 
 impl Overshoot {
-    /// In a line.
+    /// Returns the multiples in one line.
     pub fn text(&self) -> String {
-        let all = [
+        let multiples = [
             ("cpu, mean", self.mean_cpu),
             ("cpu, most", self.max_cpu),
             ("bytes, mean", self.mean_bytes),
             ("bytes, most", self.max_bytes),
             ("memory", self.memory),
         ];
-        let of = all
+        let parts = multiples
             .map(|(name, factor)| format!("{name} {factor:.2}{}", if factor > 1.0 { " OVER" } else { "" }));
-        format!("of the limits of control (1.4% of a core, 128 MB, 3 KB/s): {}", of.join("; "))
+        format!("of the limits of control (1.4% of a core, 128 MB, 3 KB/s): {}", parts.join("; "))
     }
 }
--- a/crates/lab/src/scale/messages.rs
+++ b/crates/lab/src/scale/messages.rs
@@ -1,5 +1,5 @@
-//! What the command and the processes of hollow nodes tell each other: a line of JSON each, over standard input and
-//! output.
+//! Messages between the command and its processes of hollow nodes and relays: one line of JSON each, on standard input
+//! and output.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -7,58 +7,58 @@
 use serde::{Deserialize, Serialize};
 
 const FLEET_PORT: u16 = 7_946;
-const NODES_A_NET: usize = 200; // addresses 127.x.y.1 to 127.x.y.200
-/// Zones of a fleet of hollow nodes.
+const NODES_PER_SUBNET: usize = 200; // addresses 127.x.y.1 to 127.x.y.200
+/// Number of zones in a fleet of hollow nodes.
 pub const ZONES: usize = 8;
-/// Regions of it.
+/// Number of regions in a fleet of hollow nodes.
 pub const REGIONS: usize = 3;
-const MACHINES_A_ZONE: usize = 16;
-const SEEDS: usize = 3;
-/// Nodes that may vote on the agreed log: the first ones.
+const MACHINES_PER_ZONE: usize = 16;
+const SEED_COUNT: usize = 3;
+/// Number of candidates for voters of the replicated log; they are the first nodes.
 pub const CANDIDATES: usize = 7;
-/// Nodes that do.
+/// Number of voters of the replicated log.
 pub const VOTERS: usize = 5;
 
-/// Address of a hollow node in the range 127.x.
+/// Returns the address of a hollow node in the range 127.x, where x is `range`.
 pub fn address(range: u8, node: usize) -> SocketAddr {
-    let (net, host) = (node / NODES_A_NET, node % NODES_A_NET);
+    let (net, host) = (node / NODES_PER_SUBNET, node % NODES_PER_SUBNET);
     SocketAddrV4::new(Ipv4Addr::new(127, range, net as u8, host as u8 + 1), FLEET_PORT).into()
 }
 
-/// Node at an address of a range.
+/// Returns the node that has this address in its range; none if no node can have it.
 pub fn node_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else { return None };
     let [.., net, host] = address.ip().octets();
-    Some(usize::from(net) * NODES_A_NET + usize::from(host).checked_sub(1)?)
+    Some(usize::from(net) * NODES_PER_SUBNET + usize::from(host).checked_sub(1)?)
 }
 
-/// Zone of a node.
+/// Returns the zone of a node.
 pub fn zone(node: usize) -> usize {
     node % ZONES
 }
 
-/// Region of a node: zones of 3, 3 and 2.
+/// Returns the region of a node: the regions have 3, 3 and 2 zones.
 pub fn region(node: usize) -> usize {
     zone(node) * REGIONS / ZONES
 }
 
-/// How all hollow nodes of a fleet are set up.
+/// The setup that all hollow nodes of a fleet share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetPlan {
-    /// Range of addresses in which nodes listen.
+    /// Range of the addresses on which nodes listen.
     pub listen_range: u8,
-    /// Range in which others reach them: that of the relays, if there are any.
+    /// Range of the addresses that nodes advertise: the relays' range if there are relays.
     pub reach_range: u8,
-    /// Whether they keep the agreed log.
+    /// Whether the nodes run the replicated log.
     pub log: bool,
 }
 
 impl FleetPlan {
-    /// The `[fleet]` table of a node.
+    /// Returns the `[fleet]` table of a node's configuration.
     pub fn table(&self, node: usize) -> String {
         let (zone, region) = (zone(node), region(node));
-        let machine = node / ZONES % MACHINES_A_ZONE;
-        let seeds = (0..SEEDS).filter(|seed| *seed != node);
+        let machine = node / ZONES % MACHINES_PER_ZONE;
+        let seeds = (0..SEED_COUNT).filter(|seed| *seed != node);
         let seeds: Vec<String> =
             seeds.map(|seed| format!("\"{}\"", address(self.reach_range, seed))).collect();
         let mut table = format!(
@@ -76,97 +76,97 @@
     }
 }
 
-/// What a process of hollow nodes is told.
+/// An order to a process of hollow nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Be of this fleet; comes first.
+    /// Set up for this fleet; the first order.
     SetUp(FleetPlan),
     /// Start these nodes.
     Start(Vec<usize>),
-    /// End these nodes without a word to the others.
+    /// End these nodes without notice to the others.
     Kill(Vec<usize>),
-    /// Let this node propose values to the agreed log.
+    /// Let a node propose values to the replicated log.
     Propose(Proposals),
 }
 
-/// Values that are proposed to the agreed log.
+/// A series of proposals to the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposals {
-    /// By which node.
+    /// The node that proposes.
     pub node: usize,
-    /// Time between two.
+    /// Time between two proposals, ms.
     pub every_ms: u64,
-    /// How many; none: without end.
+    /// Number of proposals; none: no limit.
     pub count: Option<u64>,
-    /// Different keys.
+    /// Number of different keys.
     pub keys: u64,
 }
 
-/// What a process of relays is told.
+/// An order to a process of relays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RelayOrder {
-    /// Relay for this fleet's first nodes; comes first.
+    /// Relay for the given number of this fleet's nodes; the first order.
     SetUp(FleetPlan, usize),
-    /// Pass nothing between these nodes and those.
+    /// Drop everything between the first and the second group of nodes.
     Cut(Vec<usize>, Vec<usize>),
-    /// Pass everything again.
+    /// Forward everything again.
     Heal,
 }
 
-/// How one hollow node stands. Counts are since its first start and go on over restarts.
+/// State of one hollow node. Counts start at its first start and continue across restarts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeSample {
-    /// Which.
+    /// Number of the node.
     pub node: usize,
-    /// Members that it holds alive; 0 while it is down.
+    /// Members that it considers alive; 0 while it is down.
     pub alive: usize,
-    /// Members that it knows.
+    /// Members that it knows of.
     pub known: usize,
-    /// Processor time of its task.
+    /// Processor time of its task, ns.
     pub cpu: Nanos,
-    /// Messages of the membership sent.
+    /// Membership messages sent.
     pub messages: u64,
-    /// Their bytes.
+    /// Bytes of membership messages sent.
     pub bytes: u64,
-    /// Messages of the agreed log sent.
+    /// Replicated-log messages sent.
     pub log_messages: u64,
-    /// Their bytes.
+    /// Bytes of replicated-log messages sent.
     pub log_bytes: u64,
-    /// Times that it accused another.
+    /// Times that it accused another member of having failed.
     pub accused: u64,
-    /// Times that it found itself held up.
+    /// Times that it detected that it had been stalled itself.
     pub held_up: u64,
-    /// Last entry of the agreed log that it has applied.
+    /// Index of the last log entry that it has applied.
     pub log_index: u64,
-    /// Values that it holds.
+    /// Log values that it stores.
     pub log_values: usize,
-    /// Whether it votes.
+    /// Whether it is a voter of the log.
     pub votes: bool,
-    /// Whether it leads.
+    /// Whether it leads the log.
     pub leads: bool,
 }
 
-/// How a process of hollow nodes stands.
+/// State of a process of hollow nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Monotonic time of the machine.
+    /// Monotonic time of the machine, ns.
     pub at: Nanos,
-    /// Processor time of the thread that all nodes are on.
+    /// Processor time of the thread that runs all nodes, ns.
     pub thread_cpu: Nanos,
-    /// Of it, what was used to measure and to propose.
+    /// The part of it used to measure and to propose, ns.
     pub measuring_cpu: Nanos,
-    /// Resident anonymous memory.
+    /// Resident anonymous memory, KiB.
     pub memory_kib: u64,
-    /// The same before the first node was started.
+    /// The same before the first node started, KiB.
     pub empty_memory_kib: u64,
-    /// How late the timer was that this sample is made by.
+    /// Delay of the timer that triggered this sample, ns.
     pub lateness: Nanos,
-    /// Times from a proposal to its confirmation since the sample before.
+    /// Times from proposal to confirmation of the proposals confirmed since the previous sample, ns.
     pub confirmed: Vec<Nanos>,
-    /// Proposals that were not confirmed since the sample before.
+    /// Proposals that failed since the previous sample.
     pub unconfirmed: u64,
-    /// Its nodes.
+    /// State of each of its nodes.
     pub nodes: Vec<NodeSample>,
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,6 +1,7 @@
-//! What each control role costs by the size of the fleet: sweeps over sizes, fitted lines and faults at size.
+//! Measures what the control plane costs a node in each role, by fleet size: sweeps over sizes, fitted lines, and faults
+//! in large fleets.
 //!
-//! Nodes are hollow: the real control part on real sockets without a data plane, many in a process.
+//! The nodes are hollow: each runs the real control plane on real sockets but no data plane, many in one process.
 
 mod catch_up;
 mod cluster;
--- a/crates/lab/src/scale/proof.rs
+++ b/crates/lab/src/scale/proof.rs
@@ -1,5 +1,5 @@
-//! Whether a hollow node costs what the control part of a real one does: both kinds in one fleet at the same time,
-//! beside real nodes without a fleet, whose cost is taken off.
+//! Checks that a hollow node costs as much as the control plane of a real node. Both kinds run in one fleet at the same
+//! time. The cost of real nodes without a fleet, which run beside them, is subtracted.
 
 use std::path::Path;
 use std::time::Duration;
@@ -22,86 +22,86 @@
 const WARM_UP: Duration = Duration::from_secs(12);
 const SOCKETS: usize = 512;
 const CONSOLE_PORT: u16 = 8_090;
-/// Share by which hollow and real may differ for one to stand for the other.
-const ALIKE: f64 = 0.1;
+/// The largest relative difference at which a hollow node is representative of a real one.
+const MAX_DIFFERENCE: f64 = 0.1;
 
-/// What one node of a kind cost on the mean.
+/// Mean cost of one node of a kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Kind {
-    /// Bytes sent a second, of the membership.
+pub struct NodeCost {
+    /// Membership bytes sent per second.
     pub bytes_s: f64,
-    /// Processor time of a second, us.
+    /// Processor time per second, us.
     pub cpu_us_s: f64,
     /// Resident anonymous memory, KiB.
     pub memory_kib: f64,
 }
 
-/// One figure of both kinds.
+/// One figure compared between both kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Likeness {
-    /// Which.
+pub struct FigureComparison {
+    /// Name of the figure.
     pub figure: &'static str,
-    /// Of a hollow node.
+    /// Value of a hollow node.
     pub hollow: f64,
-    /// Of a real one, without what it costs outside of a fleet.
+    /// Value of a real node, less the value of a real node without a fleet.
     pub real: f64,
-    /// The first over the second.
+    /// `hollow` divided by `real`.
     pub ratio: f64,
-    /// Whether they are within a tenth of each other.
+    /// Whether the ratio is within 0.1 of 1.
     pub alike: bool,
 }
 
-/// What was found.
+/// The report of the comparison.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Proof {
+pub struct ProofReport {
     /// Version of this form.
     pub schema: u32,
-    /// The command that made it.
+    /// The command that made the report.
     pub command: String,
-    /// Nodes of the fleet.
+    /// Number of nodes in the fleet.
     pub nodes: usize,
-    /// Of them real.
+    /// Number of real nodes in the fleet.
     pub real_nodes: usize,
-    /// Seconds of the window.
+    /// Duration of the measurement, s.
     pub seconds: u64,
-    /// How the machine was.
+    /// State of the machine.
     pub machine: MachineState,
-    /// A real node outside of any fleet.
-    pub bare: Kind,
-    /// A real node in the fleet.
-    pub joined: Kind,
-    /// Of a hollow node's processor time that of its own task, us.
+    /// Cost of a real node without a fleet.
+    pub bare: NodeCost,
+    /// Cost of a real node in the fleet.
+    pub joined: NodeCost,
+    /// The part of a hollow node's processor time per second used by its own task, us.
     pub hollow_task_us_s: f64,
-    /// The figures.
-    pub likeness: Vec<Likeness>,
+    /// The compared figures.
+    pub likeness: Vec<FigureComparison>,
 }
 
-/// Real node processes, in a fleet or not.
+/// Processes of real nodes, with or without a fleet.
 struct RealNodes {
     processes: Vec<Process>,
     ids: Vec<u32>,
     consoles: Vec<std::net::SocketAddr>,
-    begun: Vec<(u64, u64)>, // processor time and bytes at the begin of the window
+    begun: Vec<(u64, u64)>, // processor time and bytes sent at the start of the measurement
     _range: Range,
     _folder: Folder,
 }
 
 impl RealNodes {
-    /// `fleet` gives each its `[fleet]` table, by its place among these.
+    /// Starts `count` nodes named from `first` on. `fleet` returns a node's `[fleet]` table by its index among these nodes.
     fn start(count: usize, first: usize, fleet: impl Fn(usize) -> String) -> Result<Self, String> {
         let (range, folder) = (Range::claim()?, Folder::new(None)?);
-        let mut day = experiments::find("calm")?;
-        day.nodes.ask = false;
+        let mut experiment = experiments::find("calm")?;
+        experiment.nodes.ask = false;
         let (mut processes, mut consoles, mut ids) = (Vec::new(), Vec::new(), Vec::new());
-        for place in 0..count {
-            let node = first + place;
-            let console = std::net::SocketAddr::new(range.node(place).ip(), CONSOLE_PORT);
+        for index in 0..count {
+            let node = first + index;
+            let console = std::net::SocketAddr::new(range.node(index).ip(), CONSOLE_PORT);
             let known = json!({"index": 1, "snapshot": true, "endpoints": []});
-            let mut text = configuration(&day, place, 0, known, &range);
+            let mut text = configuration(&experiment, index, 0, known, &range);
             text["name"] = format!("n{node}").into();
             text["console"] = console.to_string().into();
             let file = folder.path.join(format!("product-{node}.toml"));
-            std::fs::write(&file, fleet(place)).map_err(|error| format!("{}: {error}", file.display()))?;
+            std::fs::write(&file, fleet(index)).map_err(|error| format!("{}: {error}", file.display()))?;
             let mut command = NodeCommand::own()?;
             command.words.extend(["--config".to_owned(), file.display().to_string()]);
             let process = Process::start(&command, node, &text.to_string(), SOCKETS, &folder.path)?;
@@ -116,6 +116,7 @@
         self.processes.first().map(Process::tail).unwrap_or_default()
     }
 
+    /// Reads each node's processor time, ns, and membership bytes sent.
     async fn counts(&self) -> Vec<(u64, u64)> {
         let mut counts = Vec::new();
         for (id, console) in self.ids.iter().zip(&self.consoles) {
@@ -126,11 +127,13 @@
         counts
     }
 
+    /// Reads the counts at the start of the measurement.
     async fn begin(&mut self) {
         self.begun = self.counts().await;
     }
 
-    async fn end(&self, seconds: f64) -> Kind {
+    /// Returns the mean cost of a node over `seconds` since [`RealNodes::begin`].
+    async fn end(&self, seconds: f64) -> NodeCost {
         let ended = self.counts().await;
         let count = self.ids.len() as f64;
         let rate = |of: fn(&(u64, u64)) -> u64| {
@@ -138,7 +141,7 @@
             all.sum::<u64>() as f64 / seconds / count
         };
         let memory = self.ids.iter().filter_map(|id| anonymous_memory_kib(&id.to_string()));
-        Kind {
+        NodeCost {
             bytes_s: rate(|counts| counts.1),
             cpu_us_s: rate(|counts| counts.0) / 1e3,
             memory_kib: memory.sum::<u64>() as f64 / count,
@@ -146,12 +149,12 @@
     }
 }
 
-/// Measures so many of each kind in one fleet.
-pub async fn play(hollow: usize, real: usize, seconds: u64, json: Option<&Path>) -> Result<(), String> {
+/// Compares `hollow` hollow and `real` real nodes in one fleet, prints the report and writes it to `json`.
+pub async fn run(hollow: usize, real: usize, seconds: u64, json: Option<&Path>) -> Result<(), String> {
     let load_before = load().unwrap_or_default();
     let mut cluster = Cluster::start(hollow, false, false).await?;
     let plan = cluster.plan().clone();
-    let mut joined = RealNodes::start(real, hollow, |place| plan.table(hollow + place))?;
+    let mut joined = RealNodes::start(real, hollow, |index| plan.table(hollow + index))?;
     let mut bare = RealNodes::start(real, 0, |_| String::new())?;
     cluster.expect_others(real);
     cluster.form().await.map_err(|error| format!("{error}\n{}", joined.tail()))?;
@@ -168,17 +171,17 @@
     let mean = Cost::mean(spent.values());
     let memory = memory_kib(cluster.series(), window);
     let machine = machine_state(cluster.series(), window, load_before, processors);
-    cluster.end().await;
-    let of = |figure, hollow: f64, real: f64| {
+    cluster.stop().await;
+    let compare = |figure, hollow: f64, real: f64| {
         let ratio = hollow / real;
-        Likeness { figure, hollow, real, ratio, alike: (ratio - 1.0).abs() <= ALIKE }
+        FigureComparison { figure, hollow, real, ratio, alike: (ratio - 1.0).abs() <= MAX_DIFFERENCE }
     };
     let likeness = vec![
-        of("bytes_s", mean.bytes_s, joined_cost.bytes_s),
-        of("cpu_us_s", mean.cpu_us_s, joined_cost.cpu_us_s - bare_cost.cpu_us_s),
-        of("memory_kib", memory, joined_cost.memory_kib - bare_cost.memory_kib),
+        compare("bytes_s", mean.bytes_s, joined_cost.bytes_s),
+        compare("cpu_us_s", mean.cpu_us_s, joined_cost.cpu_us_s - bare_cost.cpu_us_s),
+        compare("memory_kib", memory, joined_cost.memory_kib - bare_cost.memory_kib),
     ];
-    let proof = Proof {
+    let proof = ProofReport {
         schema: SCHEMA,
         command: format!("merlinfold-lab {}", std::env::args().skip(1).collect::<Vec<_>>().join(" ")),
         nodes: hollow + real,
@@ -194,7 +197,7 @@
     json.map_or(Ok(()), |path| write_json(&proof, path))
 }
 
-impl Proof {
+impl ProofReport {
     fn text(&self) -> String {
         let mut text = format!(
             "{} nodes, {} of them real; {} s; busy {:.0}%, lateness p99 {:.1} ms{}\n",
@@ -205,11 +208,11 @@
             self.machine.lateness_p99_ms,
             self.machine.verdict()
         );
-        for of in &self.likeness {
-            let says = if of.alike { "alike" } else { "NOT within 10%" };
+        for comparison in &self.likeness {
+            let verdict = if comparison.alike { "alike" } else { "NOT within 10%" };
             text += &format!(
-                "{:<12} hollow {:>9.1}  real {:>9.1}  ratio {:.3}  {says}\n",
-                of.figure, of.hollow, of.real, of.ratio
+                "{:<12} hollow {:>9.1}  real {:>9.1}  ratio {:.3}  {verdict}\n",
+                comparison.figure, comparison.hollow, comparison.real, comparison.ratio
             );
         }
         text += &format!("of a hollow node's processor time its own task {:.1} us\n", self.hollow_task_us_s);
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -1,5 +1,5 @@
-//! A process of relays: every datagram between hollow nodes passes through it, so that links can be cut. A node's
-//! relay hears what is for the node and passes it on from the sender's own relay.
+//! A process of relays. Every datagram between hollow nodes passes through it, so that links can be cut. A node's relay
+//! receives the datagrams for that node and forwards them from the socket of the sender's relay.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,34 +10,34 @@
 use super::messages::{address, node_at, FleetPlan, RelayOrder};
 
 const THREADS: usize = 2;
-const DATAGRAM_MAX: usize = 2_048;
-const READ_AT_ONCE: usize = 64;
-const BUFFER_BYTES: usize = 1 << 20; // of a relay's socket: a burst must not be lost here
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+const MAX_READS_PER_WAKEUP: usize = 64;
+const BUFFER_BYTES: usize = 1 << 20; // receive buffer, so that a relay does not lose bursts
 
-/// Which side of a cut each node is on; none: neither.
+/// The side of the cut that each node is on; none: neither side.
 type Sides = Arc<Mutex<Vec<Option<bool>>>>;
 
 #[derive(Clone)]
 struct Relays {
     sockets: Arc<Vec<UdpSocket>>,
-    onto: Arc<Vec<SocketAddr>>,
+    targets: Arc<Vec<SocketAddr>>,
     sides: Sides,
 }
 
-/// Relays until standard input ends.
+/// Relays datagrams until standard input ends.
 pub async fn run() -> Result<(), String> {
     let mut orders = read_lines::<RelayOrder>();
     let Some(RelayOrder::SetUp(plan, nodes)) = orders.recv().await.transpose()? else {
-        return Err("the first order sets up".to_owned());
+        return Err("expected a set-up as the first order".to_owned());
     };
-    let relays = Relays::open(&plan, nodes).map_err(|error| format!("relays: {error}"))?;
+    let relays = Relays::open(&plan, nodes).map_err(|error| format!("cannot open the relays: {error}"))?;
     for thread in 0..THREADS {
         let relays = relays.clone();
         std::thread::spawn(move || relays.serve(thread));
     }
     println!("ready");
     while let Some(order) = orders.recv().await {
-        relays.carry_out(order?);
+        relays.apply(order?);
     }
     Ok(())
 }
@@ -56,12 +56,12 @@
             (0..nodes).map(|node| open(address(plan.reach_range, node))).collect();
         Ok(Relays {
             sockets: Arc::new(sockets?),
-            onto: Arc::new((0..nodes).map(|node| address(plan.listen_range, node)).collect()),
+            targets: Arc::new((0..nodes).map(|node| address(plan.listen_range, node)).collect()),
             sides: Arc::new(Mutex::new(vec![None; nodes])),
         })
     }
 
-    fn carry_out(&self, order: RelayOrder) {
+    fn apply(&self, order: RelayOrder) {
         let mut sides = self.sides.lock().unwrap_or_else(PoisonError::into_inner);
         sides.fill(None);
         if let RelayOrder::Cut(left, right) = order {
@@ -75,7 +75,7 @@
         matches!((sides[from], sides[to]), (Some(one), Some(other)) if one != other)
     }
 
-    /// Serves every so manieth node on this thread.
+    /// Relays for the nodes of this thread: every [`THREADS`]-th one.
     fn serve(&self, thread: usize) {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_io().build() else { return };
         runtime.block_on(async {
@@ -89,15 +89,15 @@
 
     async fn relay(self, to: usize) -> std::io::Result<()> {
         let socket = tokio::net::UdpSocket::from_std(self.sockets[to].try_clone()?)?;
-        let mut buffer = [0; DATAGRAM_MAX];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             socket.readable().await?;
-            for _ in 0..READ_AT_ONCE {
+            for _ in 0..MAX_READS_PER_WAKEUP {
                 let Ok((length, source)) = socket.try_recv_from(&mut buffer) else { break };
                 let known = node_at(source).filter(|from| *from < self.sockets.len());
                 let Some(from) = known.filter(|from| !self.is_cut(*from, to)) else { continue };
-                // A node that is down hears nothing, and a full socket loses what comes, as any link does.
-                let _ = self.sockets[from].send_to(&buffer[..length], self.onto[to]);
+                // Sending fails if the node is down, and a full socket drops datagrams, as on any link.
+                let _ = self.sockets[from].send_to(&buffer[..length], self.targets[to]);
             }
         }
     }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,56 +1,56 @@
-//! What a sweep over sizes found: a table for people, JSON for the pages that cite it.
+//! The report of a sweep over sizes, as a table and as JSON.
 
 use std::fmt::Write;
 use std::path::Path;
 
 use serde::Serialize;
 
-use super::fit::{Forecast, Point, MISS_MAX};
+use super::fit::{Forecast, Point, MAX_FORECAST_ERROR};
 use super::window::MachineState;
 
 /// Version of the JSON form.
 pub const SCHEMA: u32 = 1;
 
-/// Something that is measured at each size.
+/// A quantity that is measured at each size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Figure {
-    /// Members that a node knows.
+    /// Members that a node knows of.
     Members,
-    /// Values of the agreed log that it holds.
+    /// Values of the replicated log that a node stores.
     LogValues,
-    /// Messages that a node sends a second, on the mean.
+    /// Messages sent per second and node, mean.
     MessagesS,
-    /// Bytes that a node sends a second, on the mean.
+    /// Bytes sent per second and node, mean.
     BytesS,
-    /// The same of the node that sends most.
+    /// Bytes sent per second by the node that sends most.
     BytesMaxS,
-    /// Of the mean the agreed log's.
+    /// The replicated log's part of the mean bytes per second.
     LogBytesS,
-    /// Processor time of a node's second, us, on the mean.
+    /// Processor time per second and node, us, mean.
     CpuUsS,
-    /// Of it that of its own task.
+    /// The part of it used by the node's own task, us.
     TaskUsS,
-    /// Of all its processor time, the node that uses most.
+    /// Processor time per second of the node that uses most, us.
     CpuMaxUsS,
     /// Resident memory of a node, KiB.
     MemoryKib,
-    /// From a proposal to its confirmation, ms: the median.
+    /// Time from a proposal to its confirmation, ms: the median.
     CommitMedianMs,
-    /// The same: the 99th percentile.
+    /// Time from a proposal to its confirmation, ms: the 99th percentile.
     CommitP99Ms,
-    /// Bytes of what is taken at once.
+    /// Bytes of what is read or fetched in one operation.
     Bytes,
-    /// Processor time to take it, us.
+    /// Processor time of the operation, us.
     CpuUs,
-    /// Time until it is there, ms.
+    /// Duration of the operation, ms.
     TimeMs,
-    /// Bytes that the node that serves most of it sends.
+    /// Bytes sent by the node that serves the largest part of it.
     ServedBytesMax,
 }
 
 impl Figure {
-    /// Whether it says nothing where all processors are taken.
+    /// Returns whether the figure is meaningless when the processors are saturated.
     fn needs_processors(self) -> bool {
         use Figure::{CommitMedianMs, CommitP99Ms, CpuMaxUsS, CpuUs, CpuUsS, TaskUsS, TimeMs};
         matches!(self, CpuUsS | CpuMaxUsS | CommitMedianMs | CommitP99Ms | CpuUs | TaskUsS | TimeMs)
@@ -62,23 +62,23 @@
     }
 }
 
-/// A figure's value.
+/// A measured value of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Measured {
-    /// Which.
+    /// The figure.
     pub figure: Figure,
     /// Its value.
     pub value: f64,
 }
 
-/// One size.
+/// The measurements at one size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Run {
     /// The size.
     pub size: usize,
-    /// How the machine was meanwhile; none in virtual time, where it does not matter.
+    /// State of the machine during the run; none in virtual time, which does not depend on it.
     pub machine: Option<MachineState>,
-    /// What was measured.
+    /// The measured values.
     pub figures: Vec<Measured>,
 }
 
@@ -87,52 +87,52 @@
         self.figures.iter().find(|measured| measured.figure == figure).map(|measured| measured.value)
     }
 
-    /// Whether the machine let this figure be measured.
+    /// Returns whether the state of the machine allows this figure to be used.
     fn can_use(&self, figure: Figure) -> bool {
         self.machine.is_none_or(|machine| !(machine.late || machine.saturated && figure.needs_processors()))
     }
 }
 
-/// A figure's line over the sizes.
+/// The line fitted to a figure over the sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Which figure.
+    /// The figure.
     pub figure: Figure,
-    /// Its line and forecast; none where too few runs can be used.
+    /// Its line and forecast; none if too few runs can be used.
     pub forecast: Option<Forecast>,
 }
 
-/// All sizes of one role.
+/// The runs of one role at all sizes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Sweep {
     /// Version of this form.
     pub schema: u32,
     /// The role.
     pub role: String,
-    /// The command that made it.
+    /// The command that made the report.
     pub command: String,
     /// What the sizes count.
     pub size_is: String,
-    /// Seconds of each window.
+    /// Duration of each run's measurement, s.
     pub seconds: u64,
-    /// What has to be known to read the figures.
+    /// Explanation of the figures.
     pub note: String,
     /// The runs.
     pub runs: Vec<Run>,
-    /// The lines through all but the largest of those that can be used.
+    /// The lines fitted to all usable runs but the largest.
     pub lines: Vec<Line>,
 }
 
 impl Sweep {
-    /// With lines through its runs.
+    /// Creates the report and fits lines to the runs.
     pub fn new(role: &str, size_is: &str, seconds: u64, note: &str, runs: Vec<Run>) -> Self {
         let figures: Vec<Figure> = runs
             .first()
             .map(|run| run.figures.iter().map(|measured| measured.figure).collect())
             .unwrap_or_default();
         let line = |figure: Figure| {
-            let used = runs.iter().filter(|run| run.can_use(figure));
-            let points: Vec<Point> = used
+            let usable = runs.iter().filter(|run| run.can_use(figure));
+            let points: Vec<Point> = usable
                 .filter_map(|run| Some(Point { size: run.size as f64, cost: run.value(figure)? }))
                 .collect();
             Line { figure, forecast: Forecast::of(&points) }
@@ -150,7 +150,7 @@
         }
     }
 
-    /// For people.
+    /// Returns the report as a table for people.
     pub fn table(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
@@ -195,7 +195,7 @@
         let verdict = if holds {
             String::new()
         } else {
-            format!(": MISSES by over {:.0}%, no line to forecast from", 100.0 * MISS_MAX)
+            format!(": MISSES by over {:.0}%, no line to forecast from", 100.0 * MAX_FORECAST_ERROR)
         };
         format!(
             "{name:<16} {:.3} + {:.5} * size, residual {:.3}; at {size:.0} forecast {forecast:.1}, measured {measured:.1}, \
@@ -208,12 +208,14 @@
     }
 }
 
-/// Writes anything as JSON, with a line at the end; folders on the way are made.
+/// Writes a value as JSON with a final line break, and creates missing parent folders.
 pub fn write_json<T: Serialize>(value: &T, path: &Path) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(value).map_err(|error| format!("report: {error}"))? + "\n";
-    let cannot = |error: std::io::Error| format!("{}: {error}", path.display());
+    let text = serde_json::to_string_pretty(value)
+        .map_err(|error| format!("cannot serialize the report: {error}"))?
+        + "\n";
+    let with_path = |error: std::io::Error| format!("{}: {error}", path.display());
     if let Some(folder) = path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
-        std::fs::create_dir_all(folder).map_err(cannot)?;
+        std::fs::create_dir_all(folder).map_err(with_path)?;
     }
-    std::fs::write(path, text).map_err(cannot)
+    std::fs::write(path, text).map_err(with_path)
 }
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -1,4 +1,4 @@
-//! The membership machine alone in virtual time, by the size of the fleet.
+//! Measures the membership state machine alone in virtual time, by fleet size.
 
 use merlinfold_fault_injection::scale::{simulate, Plan};
 use merlinfold_membership::{Membership, Tuning};
@@ -6,17 +6,17 @@
 use super::report::{Figure, Measured, Run, Sweep};
 use super::resources::thread_cpu;
 
-const CLOCK_READS: u32 = 10_000; // by which the cost of reading the clock is found
+const CLOCK_READS: u32 = 10_000; // to measure the cost of reading the clock
 const NOTE: &str =
-    "Virtual time, the membership machine alone: neither sockets nor snapshots nor the player are in its \
+    "Virtual time, the membership machine alone: neither sockets nor snapshots nor the simulator are in its \
                     processor time; what reading the clock costs is taken off.";
 
-/// Plays each size. The same seed gives the same counts and bytes; processor time is this machine's.
+/// Runs each size. The same seed gives the same counts and bytes; processor time depends on the machine.
 pub fn sweep(sizes: &[usize], seconds: u64, seed: u64) -> Sweep {
-    let read_ns = cost_of_a_read();
+    let read_ns = clock_read_cost_ns();
     let run = |&nodes: &usize| {
-        let make = |identity, seed| Membership::new(identity, Tuning::default(), seed, 0);
-        let measured = simulate(&Plan { nodes, seconds, seed }, make, &thread_cpu);
+        let create_machine = |identity, seed| Membership::new(identity, Tuning::default(), seed, 0);
+        let measured = simulate(&Plan { nodes, seconds, seed }, create_machine, &thread_cpu);
         let machine_ns_s = (measured.machine_s - measured.calls_s * read_ns).max(0.0);
         let figures = [
             (Figure::Members, measured.entries as f64),
@@ -31,8 +31,8 @@
     Sweep::new("membership-machine", "nodes", seconds, NOTE, runs)
 }
 
-/// Nanoseconds of processor time between two reads of the clock with nothing between them.
-fn cost_of_a_read() -> f64 {
+/// Returns the processor time between two successive reads of the clock, ns.
+fn clock_read_cost_ns() -> f64 {
     let begun = thread_cpu();
     (0..CLOCK_READS).for_each(|_| {
         std::hint::black_box(thread_cpu());
--- a/crates/lab/src/scale/window.rs
+++ b/crates/lab/src/scale/window.rs
@@ -1,4 +1,4 @@
-//! What the nodes of a fleet cost between two moments, from the samples of their processes.
+//! Computes the cost of a fleet's nodes between two points in time from the samples of their processes.
 
 use std::collections::BTreeMap;
 
@@ -9,42 +9,42 @@
 use super::messages::NodeSample;
 use super::resources::Processors;
 
-/// Share of all processors in use from which on the machine is taken for the limit of processor time and latency.
-pub const BUSY_MAX: f64 = 0.9;
-/// Lateness of timers at the 99th percentile from which on it is the limit of everything, also of what is sent: half of
-/// what a node takes for being held up.
-pub const LATENESS_MAX_MS: f64 = 50.0;
+/// Above this share of busy processors, the machine counts as the limit of processor time and latency.
+pub const MAX_BUSY_SHARE: f64 = 0.9;
+/// Above this 99th percentile of timer lateness, the machine counts as the limit of all figures, also of bytes sent. It is
+/// half the delay at which a node considers itself stalled.
+pub const MAX_LATENESS_MS: f64 = 50.0;
 
-/// Time in which costs are counted.
+/// A period of monotonic time, in ns, over which costs are measured.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// From.
+    /// Start of the period.
     pub from: Nanos,
-    /// To.
+    /// End of the period.
     pub to: Nanos,
 }
 
-/// How much of the machine a run had.
+/// State of the machine during a run, which decides whether the run's figures are usable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct MachineState {
-    /// Load over the minute before the run.
+    /// Load average over the minute before the run.
     pub load_before: f64,
-    /// Share of all processors in use during the window, by whomever.
+    /// Share of all processors in use during the window, by any program.
     pub busy: f64,
-    /// Lateness of timers in the processes of hollow nodes, four a second in each, ms: the 99th percentile.
+    /// 99th percentile of the lateness of timers in the processes of hollow nodes, with four samples per second each, ms.
     pub lateness_p99_ms: f64,
-    /// The same: the greatest of all.
+    /// Maximum of the same lateness, ms.
     pub lateness_max_ms: f64,
-    /// Times that a node found itself held up.
+    /// Times that a node detected that it had been stalled.
     pub held_up: u64,
-    /// Whether its processors were the limit: processor times and latencies of the run are then used for no fit.
+    /// Whether the processors were the limit; fits then ignore the run's processor times and latencies.
     pub saturated: bool,
-    /// Whether timers were late: the run is then used for no fit at all.
+    /// Whether timers were late; fits then ignore the whole run.
     pub late: bool,
 }
 
 impl MachineState {
-    /// What was wrong with the machine, if anything was.
+    /// Returns what made the run unusable for fits; empty if nothing did.
     pub fn verdict(&self) -> &'static str {
         match (self.late, self.saturated) {
             (true, _) => "  THE MACHINE WAS THE LIMIT (timers late): used for no fit",
@@ -54,23 +54,23 @@
     }
 }
 
-/// What one node, or nodes of one role on the mean, cost in a window.
+/// Cost of one node, or mean cost of several nodes, in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
-    /// Messages sent a second.
+    /// Messages sent per second.
     pub messages_s: f64,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_s: f64,
-    /// Of them the agreed log's.
+    /// The replicated log's part of the bytes sent per second.
     pub log_bytes_s: f64,
-    /// Processor time for a second, us: of its own task, and an even share of what its process used beside.
+    /// Processor time per second, us: the node's own task and an equal share of its process's other work.
     pub cpu_us_s: f64,
-    /// Of it its own task's.
+    /// The part of it used by the node's own task, us.
     pub task_us_s: f64,
 }
 
 impl Cost {
-    /// The mean of some.
+    /// Returns the mean of several costs; zero if there are none.
     pub fn mean<'a>(costs: impl Iterator<Item = &'a Cost>) -> Cost {
         let (mut sum, mut count) = (Cost::default(), 0.0f64);
         for cost in costs {
@@ -81,30 +81,30 @@
             sum.task_us_s += cost.task_us_s;
             count += 1.0;
         }
-        let of = |sum: f64| sum / count.max(1.0);
+        let mean = |sum: f64| sum / count.max(1.0);
         Cost {
-            messages_s: of(sum.messages_s),
-            bytes_s: of(sum.bytes_s),
-            log_bytes_s: of(sum.log_bytes_s),
-            cpu_us_s: of(sum.cpu_us_s),
-            task_us_s: of(sum.task_us_s),
+            messages_s: mean(sum.messages_s),
+            bytes_s: mean(sum.bytes_s),
+            log_bytes_s: mean(sum.log_bytes_s),
+            cpu_us_s: mean(sum.cpu_us_s),
+            task_us_s: mean(sum.task_us_s),
         }
     }
 }
 
-fn difference(first: &NodeSample, last: &NodeSample, beside: f64, seconds: f64) -> Cost {
+fn difference(first: &NodeSample, last: &NodeSample, shared: f64, seconds: f64) -> Cost {
     let rate = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
     let log_bytes_s = rate(first.log_bytes, last.log_bytes);
     Cost {
         messages_s: rate(first.messages, last.messages) + rate(first.log_messages, last.log_messages),
         bytes_s: rate(first.bytes, last.bytes) + log_bytes_s,
         log_bytes_s,
-        cpu_us_s: (rate(first.cpu, last.cpu) + beside) / 1e3,
+        cpu_us_s: (rate(first.cpu, last.cpu) + shared) / 1e3,
         task_us_s: rate(first.cpu, last.cpu) / 1e3,
     }
 }
 
-/// What each node cost between the first and the last sample of a window.
+/// Returns each node's cost between the first and the last sample of a window.
 pub fn costs(series: &[Series], window: Window) -> BTreeMap<usize, Cost> {
     let mut costs = BTreeMap::new();
     for of in series {
@@ -117,16 +117,16 @@
         let used = last.thread_cpu.saturating_sub(first.thread_cpu);
         let measuring = last.measuring_cpu.saturating_sub(first.measuring_cpu);
         let in_tasks: u64 = nodes.iter().map(|(first, last)| last.cpu.saturating_sub(first.cpu)).sum();
-        let beside = used.saturating_sub(measuring).saturating_sub(in_tasks) as f64;
-        let beside_s = beside / seconds / nodes.len().max(1) as f64;
+        let shared = used.saturating_sub(measuring).saturating_sub(in_tasks) as f64;
+        let shared_s = shared / seconds / nodes.len().max(1) as f64;
         costs.extend(
-            nodes.iter().map(|(first, last)| (last.node, difference(first, last, beside_s, seconds))),
+            nodes.iter().map(|(first, last)| (last.node, difference(first, last, shared_s, seconds))),
         );
     }
     costs
 }
 
-/// Resident anonymous memory of a hollow node at the end of a window, KiB, on the mean.
+/// Returns the mean resident anonymous memory of a hollow node at the end of a window, KiB.
 pub fn memory_kib(series: &[Series], window: Window) -> f64 {
     let (mut memory, mut nodes) = (0, 0);
     for of in series {
@@ -137,13 +137,13 @@
     memory as f64 / nodes.max(1) as f64
 }
 
-/// The last sample of each node in a window.
+/// Returns the last sample of each node up to the end of a window.
 pub fn last_of_nodes(series: &[Series], window: Window) -> BTreeMap<usize, NodeSample> {
     let last = |of: &Series| of.iter().rfind(|sample| sample.at <= window.to).cloned();
     series.iter().filter_map(last).flat_map(|last| last.nodes).map(|node| (node.node, node)).collect()
 }
 
-/// How the machine was in a window.
+/// Returns the state of the machine in a window.
 pub fn machine_state(
     series: &[Series], window: Window, load_before: f64, earlier: Option<Processors>,
 ) -> MachineState {
@@ -174,7 +174,7 @@
         lateness_p99_ms,
         lateness_max_ms: at(1.0),
         held_up: series.iter().map(held_up).sum(),
-        saturated: busy > BUSY_MAX,
-        late: lateness_p99_ms > LATENESS_MAX_MS,
+        saturated: busy > MAX_BUSY_SHARE,
+        late: lateness_p99_ms > MAX_LATENESS_MS,
     }
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,8 +1,8 @@
-//! Fits and their forecasts, and the models that the capacity page's figures come from.
+//! Tests the fits, their forecasts, and the models behind the documented capacity figures.
 
 use std::process::Command;
 
-use merlinfold_lab::capacity::connections::{answer, Question};
+use merlinfold_lab::capacity::connections::{simulate, Parameters};
 use merlinfold_lab::capacity::fit::{Check, Fit, Form, Sample};
 use merlinfold_lab::capacity::fleet::{shares, Size};
 use merlinfold_lab::capacity::model::Node;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_fit_finds_the_curve_that_the_samples_lie_on() {
+fn best_fit_recovers_the_curve_of_exact_samples() {
     for form in Form::GROWING {
         let on = samples(|size| 3.0 + 0.5 * form.term(size));
         let fit = Fit::best(&on).unwrap();
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn a_residual_is_what_the_curve_misses_by() {
+fn residual_is_the_root_mean_square_distance_from_the_curve() {
     let off = [(1.0, 0.0), (2.0, 3.0), (3.0, 0.0), (4.0, 3.0)].map(|(size, value)| Sample { size, value });
     let fit = Fit::of(Form::Linear, &off).unwrap();
     assert!((fit.slope - 0.6).abs() < 1e-9 && fit.intercept.abs() < 1e-9, "{fit:?}");
     assert!((fit.residual - 1.8f64.sqrt()).abs() < 1e-9, "{fit:?}");
 }
 
-/// Guards the page: growth that the smaller sizes do not show must not pass for a slope.
+/// Growth that the smaller sizes do not show must not be accepted as a slope.
 #[test]
-fn a_forecast_of_what_grows_faster_than_any_form_does_not_hold() {
+fn forecast_does_not_hold_if_growth_exceeds_every_form() {
     let check = Check::of(&samples(|size| size * size)).unwrap();
     assert!(!check.holds() && check.error < -0.15, "{check:?}");
     let step = Check::of(&samples(|size| if size > 4_000.0 { 20.0 } else { 10.0 })).unwrap();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn too_few_samples_determine_no_curve() {
+fn too_few_samples_give_no_fit() {
     let alone = [Sample { size: 200.0, value: 1.0 }];
     assert_eq!(Fit::best(&alone), None);
     assert_eq!(Check::of(&alone), None);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_cost_that_does_not_grow_is_a_constant() {
+fn cost_that_does_not_grow_is_fitted_as_constant() {
     let falls = [(1.0, 4.0), (2.0, 3.0), (3.0, 2.0)].map(|(size, value)| Sample { size, value });
     let fit = Fit::best(&falls).unwrap();
     assert_eq!((fit.form, fit.intercept, fit.slope), (Form::Constant, 3.0, 0.0));
@@ -65,7 +65,7 @@
     Size { nodes: 10, servers: 60, services: 6, tenants: 5, rate: 200.0 }
 }
 
-/// Guards all figures of the module: what is measured has to be requests that are served, each by its own service.
+/// The measured requests must be served, each by a server of its own service; all module figures depend on that.
 #[test]
 fn the_model_serves_every_request_at_the_servers_of_its_service() {
     let size = small();
@@ -84,29 +84,30 @@
     assert!(node.decisions.take() > 0.0 && node.others.take() > 0.0);
 }
 
-/// Guards the share of new connections: none where one server takes all, all where idle connections close at once.
+/// No connection is opened while all stay open, every attempt opens one if idle connections close at once, and most do
+/// with a single slot.
 #[test]
-fn connections_are_opened_as_idle_limits_and_slots_say() {
+fn connections_are_opened_according_to_idle_limit_and_slots() {
     let size = Size { servers: 6, ..small() };
-    let question = Question { size, requests: 2_000, idle_s: 30.0, slots: 100, skewed: false };
-    let kept = answer(question);
+    let question = Parameters { size, requests: 2_000, idle_s: 30.0, slots: 100, skewed: false };
+    let kept = simulate(question);
     assert_eq!((kept.opened, kept.opened_without_limit), (0.0, 0.0), "{kept:?}");
     assert_eq!((kept.servers_used, kept.held_without_limit), (6, 6.0), "{kept:?}");
-    let short = answer(Question { idle_s: 1e-6, ..question });
+    let short = simulate(Parameters { idle_s: 1e-6, ..question });
     assert_eq!((short.opened, short.opened_without_limit), (1.0, 1.0), "{short:?}");
-    let tight = answer(Question { slots: 1, ..question });
+    let tight = simulate(Parameters { slots: 1, ..question });
     assert!(tight.opened > 0.7 && tight.opened_without_limit == 0.0, "{tight:?}");
 }
 
 #[test]
-fn a_point_is_printed_with_all_its_figures() {
-    let ended = Command::new(env!("CARGO_BIN_EXE_merlinfold-lab"))
+fn point_command_prints_all_figures() {
+    let output = Command::new(env!("CARGO_BIN_EXE_merlinfold-lab"))
         .args(["capacity", "point"])
         .args(Size { servers: 300, ..small() }.arguments())
         .output()
         .unwrap();
-    assert!(ended.status.success(), "{}", String::from_utf8_lossy(&ended.stderr));
-    let point: Point = serde_json::from_slice(&ended.stdout).unwrap();
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let point: Point = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(point.size.servers, 300);
     let times = [point.decision_us, point.tick_us, point.first_list_ms, point.whole_list_ms, point.change_us];
     let texts = [point.parse_ms, point.names_ms, point.settings_ms];
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! A small sweep of sizes in virtual time: what a node sends must not grow with its fleet. Counts and bytes only, so
-//! that a busy machine changes nothing.
+//! Sweeps small fleet sizes in virtual time: the traffic of a node must not grow with its fleet. Only counts and bytes
+//! are checked, so that a busy machine does not change the result.
 
 use std::net::SocketAddr;
 
@@ -11,27 +11,28 @@
 use merlinfold_membership::{Action, Event, Identity, Membership, Tuning};
 use merlinfold_simulation::{Nanos, SECOND};
 
-/// Smaller fleets leave buckets of a digest empty, whose zeros are shorter: their bytes still rise with each node.
+/// In smaller fleets some buckets of a digest are empty and encoded shorter, so bytes still rise with each node.
 const SIZES: [usize; 4] = [150, 200, 250, 300];
-/// Enough for the planted machine, whose messages grow with the square of the fleet.
+/// Large enough for the faulty machine, whose messages grow with the square of the fleet size.
 const SMALL_SIZES: [usize; 3] = [100, 150, 200];
-/// Bytes a second that a node may send more for each further node: 134 from 150 to 820 nodes, where 3,000 are allowed.
-const SLOPE_MAX: f64 = 0.2;
+/// Maximum growth of bytes per second and node for each additional node: 134 from 150 to 820 nodes, where the limit is
+/// 3,000 in total.
+const MAX_SLOPE: f64 = 0.2;
 
-/// The product's machine, which also sends a heartbeat to every member every five seconds.
+/// The real machine with a planted defect: it also sends a heartbeat to every member every five seconds.
 struct AllToAll {
     machine: Membership,
     next: Nanos,
 }
 
 const HEARTBEAT: [u8; 32] = [0; 32];
-const HEARTBEAT_EVERY: Nanos = 5 * SECOND;
+const HEARTBEAT_INTERVAL: Nanos = 5 * SECOND;
 
 impl Machine for AllToAll {
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.machine.handle(now, event, out);
         if now >= self.next {
-            self.next = now + HEARTBEAT_EVERY;
+            self.next = now + HEARTBEAT_INTERVAL;
             let heartbeat = |to: SocketAddr| Action::Send { to, bytes: HEARTBEAT.to_vec() };
             out.extend(self.machine.addresses().into_iter().map(heartbeat));
         }
@@ -63,26 +64,26 @@
     sizes.iter().map(|&nodes| (nodes, simulate(&plan(nodes), &make, &no_clock))).collect()
 }
 
-/// Bytes a second a node by size, as a line.
-fn line(swept: &[(usize, Measured)]) -> Fit {
+/// Fits a line to the bytes per second and node, by size.
+fn fit_bytes(measurements: &[(usize, Measured)]) -> Fit {
     let point = |(nodes, measured): &(usize, Measured)| Point { size: *nodes as f64, cost: measured.bytes_s };
-    Fit::of(&swept.iter().map(point).collect::<Vec<_>>()).unwrap()
+    Fit::of(&measurements.iter().map(point).collect::<Vec<_>>()).unwrap()
 }
 
 #[test]
-fn bytes_of_the_membership_stay_flat_with_the_fleet() {
-    let swept = sweep(&SIZES, membership);
-    for (nodes, measured) in &swept {
-        assert_eq!(measured.entries, *nodes, "every node sees all others before anything is counted");
+fn membership_bytes_per_node_do_not_grow_with_the_fleet() {
+    let measurements = sweep(&SIZES, membership);
+    for (nodes, measured) in &measurements {
+        assert_eq!(measured.entries, *nodes, "every node must see all others before counting starts");
     }
-    let fit = line(&swept);
-    assert!(fit.slope < SLOPE_MAX, "{fit:?} of {swept:?}");
+    let fit = fit_bytes(&measurements);
+    assert!(fit.slope < MAX_SLOPE, "{fit:?} of {measurements:?}");
 }
 
 #[test]
-fn a_node_that_talks_to_all_others_is_caught_by_the_slope() {
-    let fit = line(&sweep(&SMALL_SIZES, all_to_all));
-    assert!(fit.slope > SLOPE_MAX, "{fit:?}");
+fn all_to_all_heartbeats_exceed_the_slope_limit() {
+    let fit = fit_bytes(&sweep(&SMALL_SIZES, all_to_all));
+    assert!(fit.slope > MAX_SLOPE, "{fit:?}");
 }
 
 #[test]
@@ -91,7 +92,7 @@
     assert_eq!(simulate(&plan, membership, &no_clock), simulate(&plan, membership, &no_clock));
 }
 
-/// A fleet with an agreed log of five voters to which nothing happens.
+/// Returns a scenario without faults for a fleet with a replicated log of five voters.
 fn quiet_log(nodes: usize) -> LogScenario {
     let fleet = Fleet {
         nodes,
@@ -116,19 +117,19 @@
 }
 
 #[test]
-fn bytes_of_the_agreed_log_stay_flat_with_the_fleet() {
+fn replicated_log_bytes_per_node_do_not_grow_with_the_fleet() {
     let point = |nodes: usize| {
-        let played = replicated_log::simulate(&quiet_log(nodes), None, false).unwrap();
-        assert!(played.violations.is_empty(), "{nodes}: {:?}", played.violations);
-        Point { size: nodes as f64, cost: played.bytes_s }
+        let outcome = replicated_log::simulate(&quiet_log(nodes), None, false).unwrap();
+        assert!(outcome.violations.is_empty(), "{nodes}: {:?}", outcome.violations);
+        Point { size: nodes as f64, cost: outcome.bytes_s }
     };
     let points = [20, 40, 60, 80].map(point);
     let fit = Fit::of(&points).unwrap();
-    assert!(fit.slope < SLOPE_MAX, "{fit:?} of {points:?}");
+    assert!(fit.slope < MAX_SLOPE, "{fit:?} of {points:?}");
 }
 
 #[test]
-fn a_line_is_found_again_and_its_forecast_holds() {
+fn forecast_from_exact_points_of_a_line_holds() {
     let points = [100.0, 200.0, 400.0, 800.0].map(|size| Point { size, cost: 7.0 + 0.5 * size });
     let Forecast { fit, error, holds, .. } = Forecast::of(&points).unwrap();
     assert!((fit.intercept - 7.0).abs() < 1e-9 && (fit.slope - 0.5).abs() < 1e-9 && fit.residual < 1e-9);
@@ -136,14 +137,14 @@
 }
 
 #[test]
-fn a_forecast_from_a_curve_is_said_to_miss() {
+fn linear_forecast_of_a_quadratic_cost_does_not_hold() {
     let points = [100.0, 200.0, 400.0, 800.0].map(|size: f64| Point { size, cost: size * size });
     let forecast = Forecast::of(&points).unwrap();
     assert!(!forecast.holds && forecast.error < -0.15, "{forecast:?}");
 }
 
 #[test]
-fn too_few_points_make_no_line() {
+fn too_few_points_give_no_fit() {
     let points = [1.0, 2.0].map(|size| Point { size, cost: size });
     assert_eq!(Fit::of(&points), None);
     assert_eq!(Forecast::of(&[points[0], points[1], Point { size: 3.0, cost: 3.0 }]), None);
