--- a/crates/lab/src/bin/double.rs
+++ b/crates/lab/src/bin/double.rs
@@ -1,5 +1,5 @@
-//! Doubles of a node: one that keeps the rules in the simplest way, and others with one defect each, so
-//! that the lab can show that its ledger finds them. No part of the product.
+//! Faulty nodes: minimal nodes with one defect each, and one without a defect. Tests run them to show that the lab
+//! detects each defect. They are not part of the product.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -15,48 +15,48 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep, timeout};
 
-/// Requests after which a defect shows, so that the day has begun.
-const LATER: usize = 200;
-/// A peer that sends nothing is closed after this.
-const HEAD: Duration = Duration::from_secs(2);
-/// Kept back of the client's time, for the answer's way.
-const MARGIN: u64 = 20;
+/// Number of requests after which a defect shows, so that it falls into the run and not into the start.
+const DEFECT_AFTER: usize = 200;
+/// Time after which a peer that sends no complete request is closed.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Part of the client's time budget in milliseconds that is reserved for returning the response.
+const RESPONSE_MARGIN_MS: u64 = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Defect {
-    /// Keeps the rules.
+    /// Violates no invariant.
     None,
-    /// Writes each answer twice.
+    /// Writes each response twice.
     AnswersTwice,
-    /// Sends what is unsafe again after a failure.
+    /// Resends unsafe requests after a failure.
     Resends,
-    /// Passes over what it is told of drains.
+    /// Ignores drain notices from discovery.
     IgnoresDrains,
-    /// Keeps what it gives up until the client's time is nearly over.
+    /// Delays refusals until the client's time is nearly over.
     HoldsBack,
-    /// Answers without a server.
+    /// Answers some requests itself, without a server.
     MakesUp,
-    /// Closes connections instead of answering.
+    /// Closes some connections instead of answering.
     Loses,
     /// Never answers some requests.
     Forgets,
     /// Sends servers a request that no client sent.
     Invents,
-    /// Refuses what may have run.
+    /// Refuses requests that a server may have executed.
     RefusesRun,
-    /// Tries without end.
+    /// Makes more attempts than it may.
     TriesOn,
-    /// Sends everything to whichever server started last.
+    /// Sends every request to the server that started last.
     FloodsCold,
-    /// Keeps peers that send nothing.
+    /// Keeps connections of peers that send nothing.
     KeepsSilent,
-    /// Ends by itself.
+    /// Exits by itself.
     Crashes,
-    /// Never says that it is ready.
+    /// Never reports that it is ready.
     NeverReady,
-    /// Takes far more memory than it may.
+    /// Uses far more memory than its limit.
     Hoards,
-    /// Goes on after SIGTERM.
+    /// Keeps running after SIGTERM.
     Overstays,
 }
 
@@ -73,11 +73,11 @@
     since: u64,
 }
 
-struct Double {
+struct FaultyNode {
     defect: Defect,
     servers: Mutex<Vec<Server>>,
     index: Mutex<u64>,
-    turn: AtomicUsize,
+    request_number: AtomicUsize,
 }
 
 #[tokio::main(flavor = "current_thread")]
@@ -85,8 +85,8 @@
     let defect = Cli::parse().defect;
     match run(defect).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("double: {fault}");
+        Err(error) => {
+            eprintln!("double: {error}");
             ExitCode::FAILURE
         }
     }
@@ -101,54 +101,55 @@
     };
     let listener = TcpListener::bind(address("listen")?).await.map_err(|error| error.to_string())?;
     let discovery = address("discovery")?;
-    let double = Arc::new(Double {
+    let node = Arc::new(FaultyNode {
         defect,
         servers: Mutex::new(Vec::new()),
         index: Mutex::new(0),
-        turn: AtomicUsize::new(0),
+        request_number: AtomicUsize::new(0),
     });
-    double.list(&config["known"]);
-    let mut terminated = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
-    tokio::spawn(double.clone().watch(discovery));
-    let hoard = if defect == Defect::Hoards { vec![1u8; 128 << 20] } else { Vec::new() };
+    node.apply_list(&config["known"]);
+    let mut sigterm = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
+    tokio::spawn(node.clone().poll_discovery(discovery));
+    let ballast = if defect == Defect::Hoards { vec![1u8; 128 << 20] } else { Vec::new() };
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    tokio::spawn(double.clone().client(stream));
+                    tokio::spawn(node.clone().serve_client(stream));
                 }
             }
-            _ = terminated.recv() => if defect != Defect::Overstays { break },
+            _ = sigterm.recv() => if defect != Defect::Overstays { break },
         }
     }
     drop(listener);
     sleep(Duration::from_secs(1)).await;
-    drop(hoard);
+    drop(ballast);
     Ok(())
 }
 
-impl Double {
-    fn list(&self, list: &Value) {
+impl FaultyNode {
+    fn apply_list(&self, list: &Value) {
         let mut servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
         let ignored = self.defect == Defect::IgnoresDrains && !servers.is_empty();
         if list["snapshot"] == true && !ignored {
             servers.clear();
         }
-        let lines = list["endpoints"].as_array().into_iter().flatten().filter(|_| !ignored);
-        for line in lines {
-            let (Some(name), Some(address)) = (line["name"].as_str(), line["address"].as_str()) else {
+        let endpoints = list["endpoints"].as_array().into_iter().flatten().filter(|_| !ignored);
+        for endpoint in endpoints {
+            let (Some(name), Some(address)) = (endpoint["name"].as_str(), endpoint["address"].as_str())
+            else {
                 continue;
             };
             let Ok(address) = address.parse() else { continue };
             servers.retain(|server| server.name != name);
-            let ready = line["status"] == "in_service";
-            let since = line["since_ms"].as_u64().unwrap_or(0);
+            let ready = endpoint["status"] == "in_service";
+            let since = endpoint["since_ms"].as_u64().unwrap_or(0);
             servers.push(Server { name: name.to_owned(), address, ready, since });
         }
         *self.index.lock().unwrap_or_else(PoisonError::into_inner) = list["index"].as_u64().unwrap_or(0);
     }
 
-    async fn watch(self: Arc<Self>, at: SocketAddr) {
+    async fn poll_discovery(self: Arc<Self>, at: SocketAddr) {
         loop {
             let index = *self.index.lock().unwrap_or_else(PoisonError::into_inner);
             let text = format!("GET /registry/instances?index={index}&wait=1000 HTTP/1.1\r\nHost: d\r\n\r\n");
@@ -158,17 +159,19 @@
                 Reader::default().next(&mut stream, Side::Client).await.ok().flatten()
             };
             match called.await.and_then(|message| serde_json::from_slice(&message.body).ok()) {
-                Some(list) => self.list(&list),
+                Some(list) => self.apply_list(&list),
                 None => sleep(Duration::from_millis(50)).await,
             }
         }
     }
 
-    async fn client(self: Arc<Self>, mut stream: TcpStream) {
+    async fn serve_client(self: Arc<Self>, mut stream: TcpStream) {
         let mut reader = Reader::default();
         let _ = stream.set_nodelay(true);
-        let patience = if self.defect == Defect::KeepsSilent { Duration::from_secs(60) } else { HEAD };
-        while let Ok(Ok(Some(request))) = timeout(patience, reader.next(&mut stream, Side::Server)).await {
+        let head_timeout =
+            if self.defect == Defect::KeepsSilent { Duration::from_secs(60) } else { HEAD_TIMEOUT };
+        while let Ok(Ok(Some(request))) = timeout(head_timeout, reader.next(&mut stream, Side::Server)).await
+        {
             if request.target.1 == "/health/ready" {
                 let status = if self.defect == Defect::NeverReady { 503 } else { 200 };
                 let _ = stream.write_all(&answer(status, "", "")).await;
@@ -183,40 +186,44 @@
         }
     }
 
-    /// The answer to a client; none: its connection is closed.
+    /// Returns the response to a client, or `None` if the connection is to be closed.
     async fn answer(&self, request: &Message) -> Option<Vec<u8>> {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let later = turn >= LATER;
+        let request_number = self.request_number.fetch_add(1, Ordering::Relaxed);
+        let defect_active = request_number >= DEFECT_AFTER;
         let remaining = request.header("x-remaining-ms").and_then(|ms| ms.parse::<u64>().ok()).unwrap_or(0);
-        let most = Duration::from_millis(remaining.saturating_sub(MARGIN));
+        let time_left = Duration::from_millis(remaining.saturating_sub(RESPONSE_MARGIN_MS));
         let safe = request.target.0 == "GET";
         let refusal = || answer(503, "Retry-After: 0.1\r\n", "");
         match self.defect {
-            Defect::MakesUp if later && turn.is_multiple_of(50) => return Some(answer(200, "", "pong")),
-            Defect::Crashes if later => std::process::exit(7),
-            Defect::HoldsBack if later && turn.is_multiple_of(5) => {
-                sleep(most).await;
+            Defect::MakesUp if defect_active && request_number.is_multiple_of(50) => {
+                return Some(answer(200, "", "pong"))
+            }
+            Defect::Crashes if defect_active => std::process::exit(7),
+            Defect::HoldsBack if defect_active && request_number.is_multiple_of(5) => {
+                sleep(time_left).await;
                 return Some(refusal());
             }
-            Defect::Forgets if later && turn.is_multiple_of(10) => std::future::pending().await,
-            Defect::Invents if later && turn.is_multiple_of(50) => {
+            Defect::Forgets if defect_active && request_number.is_multiple_of(10) => {
+                std::future::pending().await
+            }
+            Defect::Invents if defect_active && request_number.is_multiple_of(50) => {
                 let mut invented = request.clone();
                 invented.headers.retain(|(name, _)| name != "x-txn");
-                invented.headers.push(("x-txn".to_owned(), format!("{turn:016x}")));
-                let _ = timeout(most, self.attempt(&invented, turn)).await;
+                invented.headers.push(("x-txn".to_owned(), format!("{request_number:016x}")));
+                let _ = timeout(time_left, self.attempt(&invented, request_number)).await;
             }
             _ => {}
         }
-        let tries = match self.defect {
+        let max_attempts = match self.defect {
             Defect::TriesOn => 6,
             _ if safe => 3,
             Defect::Resends => 2,
             _ => 1,
         };
-        let tried = timeout(most, async {
+        let attempts = timeout(time_left, async {
             let mut last = None;
-            for further in 0..tries {
-                last = self.attempt(request, turn + further).await;
+            for attempt in 0..max_attempts {
+                last = self.attempt(request, request_number + attempt).await;
                 match &last {
                     Some(message) if message.status == 200 && self.defect != Defect::TriesOn => break,
                     _ => {}
@@ -224,8 +231,8 @@
             }
             last
         });
-        let ended = tried.await.ok().flatten();
-        if self.defect == Defect::Loses && later && turn.is_multiple_of(20) {
+        let ended = attempts.await.ok().flatten();
+        if self.defect == Defect::Loses && defect_active && request_number.is_multiple_of(20) {
             return None;
         }
         Some(match ended {
@@ -238,15 +245,15 @@
         })
     }
 
-    /// One attempt at the next server, on a connection of its own.
-    async fn attempt(&self, request: &Message, turn: usize) -> Option<Message> {
+    /// Makes one attempt at the next server, on a new connection.
+    async fn attempt(&self, request: &Message, request_number: usize) -> Option<Message> {
         let address = {
             let servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
             let ready: Vec<&Server> = servers.iter().filter(|server| server.ready).collect();
             let newest = ready.iter().max_by_key(|server| server.since).filter(|server| server.since > 0);
             match newest {
                 Some(newest) if self.defect == Defect::FloodsCold => newest.address,
-                _ => ready.get(turn % ready.len().max(1))?.address,
+                _ => ready.get(request_number % ready.len().max(1))?.address,
             }
         };
         let (method, path) = &request.target;
--- a/crates/lab/src/bin/forwarder.rs
+++ b/crates/lab/src/bin/forwarder.rs
@@ -1,5 +1,6 @@
-//! A bare forwarder on the same libraries as the node: it takes turns over the servers that it knows from
-//! its start and decides nothing. What a node costs is measured against it. No part of the product.
+//! A minimal forwarder on the same libraries as the node. It sends requests round-robin to the servers of its
+//! configuration and makes no decisions. The lab compares a node's processor time with it; it is not part of the
+//! product.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,16 +21,17 @@
 
 struct Forwarder {
     servers: Vec<SocketAddr>,
+    /// Idle connections, by server.
     idle: Vec<Mutex<Vec<SendRequest<Full<Bytes>>>>>,
-    turn: AtomicUsize,
+    next_server: AtomicUsize,
 }
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     match run().await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("forwarder: {fault}");
+        Err(error) => {
+            eprintln!("forwarder: {error}");
             ExitCode::FAILURE
         }
     }
@@ -40,13 +42,15 @@
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
     let config: Value = serde_json::from_str(&text).map_err(|error| error.to_string())?;
     let address = |value: &Value| value.as_str().and_then(|text| text.parse::<SocketAddr>().ok());
-    let listen = address(&config["listen"]).ok_or("listen is missing")?;
-    let lines = config["known"]["endpoints"].as_array().ok_or("known is missing")?;
-    let servers: Vec<SocketAddr> = lines.iter().filter_map(|line| address(&line["address"])).collect();
+    let listen = address(&config["listen"]).ok_or("listen is missing or is not a socket address")?;
+    let endpoints =
+        config["known"]["endpoints"].as_array().ok_or("known.endpoints is missing or is not a list")?;
+    let servers: Vec<SocketAddr> =
+        endpoints.iter().filter_map(|endpoint| address(&endpoint["address"])).collect();
     let idle = servers.iter().map(|_| Mutex::default()).collect();
-    let forwarder = Arc::new(Forwarder { servers, idle, turn: AtomicUsize::new(0) });
+    let forwarder = Arc::new(Forwarder { servers, idle, next_server: AtomicUsize::new(0) });
     let listener = TcpListener::bind(listen).await.map_err(|error| error.to_string())?;
-    let mut terminated = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
+    let mut sigterm = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
     loop {
         tokio::select! {
             accepted = listener.accept() => {
@@ -58,7 +62,7 @@
                     hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 tokio::spawn(async move { connection.await.unwrap_or(()) });
             }
-            _ = terminated.recv() => return Ok(()),
+            _ = sigterm.recv() => return Ok(()),
         }
     }
 }
@@ -81,10 +85,10 @@
     async fn attempt(&self, request: Request<Incoming>) -> Option<Response<Full<Bytes>>> {
         let (head, body) = request.into_parts();
         let request = Request::from_parts(head, Full::new(body.collect().await.ok()?.to_bytes()));
-        let server = self.turn.fetch_add(1, Ordering::Relaxed) % self.servers.len().max(1);
+        let server = self.next_server.fetch_add(1, Ordering::Relaxed) % self.servers.len().max(1);
         let idle = || self.idle[server].lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle().pop().filter(SendRequest::is_ready);
-        let mut sender = match kept {
+        let reusable = idle().pop().filter(SendRequest::is_ready);
+        let mut sender = match reusable {
             Some(sender) => sender,
             None => {
                 let stream = TcpStream::connect(self.servers[server]).await.ok()?;
--- a/crates/lab/src/closed.rs
+++ b/crates/lab/src/closed.rs
@@ -1,5 +1,5 @@
-//! Clients on sockets that ask again as soon as they are answered or refused, on servers that answer after a fixed
-//! time: load that closes on itself, as that of people who press again.
+//! Closed-loop load on sockets: each client sends its next request as soon as the previous one is answered or refused,
+//! as people do who press a button again. The servers answer after a fixed time.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -20,54 +20,57 @@
 use crate::http::{answer, Reader, Side};
 use crate::load::ready;
 use crate::net::Range;
-use crate::play::Folder;
 use crate::process::{NodeCommand, Process};
+use crate::runner::Folder;
 
-const START: Duration = Duration::from_secs(5); // for a node to become ready
-const END: Duration = Duration::from_secs(5); // for a node to end
+/// Time within which a node has to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time within which a node has to exit after SIGTERM.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
+/// Descriptors that a node may open.
 const SOCKETS: usize = 4_096;
-const CLIENTS_MOST: u64 = 512;
-const REQUESTS_MOST: u64 = 10_000_000;
+const MAX_CLIENTS: u64 = 512;
+const MAX_REQUESTS: u64 = 10_000_000;
 
-/// What to play.
+/// Arguments of the `closed` command.
 #[derive(Debug, Args)]
 pub struct Closed {
-    /// Clients, each with one request under way at all times.
-    #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u64).range(1..=CLIENTS_MOST))]
+    /// Clients, each with one request in flight at all times.
+    #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u64).range(1..=MAX_CLIENTS))]
     clients: u64,
-    /// Servers.
+    /// Number of servers.
     #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u64).range(1..=250))]
     servers: u64,
-    /// Milliseconds that each answer takes; under one: none.
+    /// Service time of each request in milliseconds; 0 answers at once.
     #[arg(long, default_value_t = 20)]
     service_ms: u64,
-    /// Requests that a server works on side by side; none: any number.
+    /// Requests that a server works on concurrently; without it there is no limit.
     #[arg(long)]
     slots: Option<usize>,
-    /// Requests a round, those refused among them.
-    #[arg(long, default_value_t = 20_000, value_parser = clap::value_parser!(u64).range(1..=REQUESTS_MOST))]
+    /// Requests in each round, including refused ones.
+    #[arg(long, default_value_t = 20_000, value_parser = clap::value_parser!(u64).range(1..=MAX_REQUESTS))]
     requests: u64,
-    /// Rounds, one after the other on the same node.
+    /// Rounds, run one after the other on the same node.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=20))]
     rounds: u64,
-    /// Twice as many clients in each round as in the one before.
+    /// Double the number of clients with each round.
     #[arg(long)]
     double: bool,
-    /// Aim in milliseconds; clients wait two and a half times as long.
+    /// Latency aim in milliseconds; clients wait two and a half times as long.
     #[arg(long, default_value_t = 300)]
     aim_ms: u64,
-    /// Command of a node; else this build's own.
+    /// Command of a node; the default is this build's own node.
     #[arg(long, value_name = "COMMAND")]
     node: Option<String>,
 }
 
-/// What became of a round.
+/// Counts of a round's requests by result.
 #[derive(Default)]
 struct Round {
     served: AtomicU64,
     late: AtomicU64,
     refused: AtomicU64,
-    later: AtomicU64, // of these, after the round's first second
+    refused_later: AtomicU64, // of these, after the round's first second
     other: AtomicU64,
 }
 
@@ -76,26 +79,28 @@
         self.clients << if self.double { round - 1 } else { 0 }
     }
 
-    fn most_clients(&self) -> u64 {
+    fn max_clients(&self) -> u64 {
         self.clients_of(self.rounds)
     }
 }
 
-/// What came of all rounds.
-struct Played {
-    later: u64,
+/// Result of all rounds: refusals after the first second of a round, and processor time of a served request in
+/// microseconds.
+struct Outcome {
+    refused_later: u64,
     us_served: f64,
 }
 
-/// Plays the node, then the bare forwarder. It fails if every request has a slot and some are refused later than in
-/// a round's first second.
-pub async fn run(told: &Closed) -> Result<ExitCode, String> {
-    if told.most_clients() > CLIENTS_MOST {
-        return Err(format!("--double: over {CLIENTS_MOST} clients in the last round"));
+/// Runs the node, then the bare forwarder. The exit code reports a failure if the servers have a slot for every client
+/// and requests are refused after the first second of a round.
+pub async fn run(options: &Closed) -> Result<ExitCode, String> {
+    if options.max_clients() > MAX_CLIENTS {
+        return Err(format!("--double: the last round would have more than {MAX_CLIENTS} clients"));
     }
-    let own = std::env::current_exe().map_err(|error| format!("cannot name this program: {error}"))?;
-    let bare = own.with_file_name("merlinfold-lab-forwarder").display().to_string();
-    let node = told.node.as_deref().map_or_else(NodeCommand::own, NodeCommand::of)?;
+    let own = std::env::current_exe()
+        .map_err(|error| format!("cannot determine the path of this program: {error}"))?;
+    let forwarder = own.with_file_name("merlinfold-lab-forwarder").display().to_string();
+    let node = options.node.as_deref().map_or_else(NodeCommand::own, NodeCommand::of)?;
     println!(
         "{:<10} {:>5} {:>8} {:>6} {:>8} {:>8} {:>6} {:>8} {:>9} {:>9} {:>10}",
         "",
@@ -110,18 +115,20 @@
         "p99 ms",
         "us/served"
     );
-    let of_node = play(told, "node", &node).await?;
-    let of_bare = play(told, "forwarder", &NodeCommand::of(&bare)?).await?;
+    let of_node = run_rounds(options, "node", &node).await?;
+    let of_forwarder = run_rounds(options, "forwarder", &NodeCommand::of(&forwarder)?).await?;
     println!(
         "refused after a round's first second: {}; processor time of a served request over the forwarder's: {:.2}",
-        of_node.later,
-        of_node.us_served / of_bare.us_served
+        of_node.refused_later,
+        of_node.us_served / of_forwarder.us_served
     );
-    let room = told.slots.is_none_or(|slots| told.most_clients() <= told.servers * slots as u64);
-    Ok(if room && of_node.later > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    let enough_slots =
+        options.slots.is_none_or(|slots| options.max_clients() <= options.servers * slots as u64);
+    Ok(if enough_slots && of_node.refused_later > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-fn configuration(told: &Closed, range: &Range) -> String {
+/// Configuration of the node and the forwarder.
+fn configuration(options: &Closed, range: &Range) -> String {
     let nanos = |ms: u64| ms * 1_000_000;
     let server = |n: u64| {
         json!({"name": format!("s{n}"), "address": range.server(0, n as usize), "zone": "a", "type": "k",
@@ -130,10 +137,10 @@
     json!({
         "name": "n0", "listen": range.node(0), "discovery": range.discovery(0), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
-        "known": {"index": 1, "snapshot": true, "endpoints": (0..told.servers).map(server).collect::<Vec<_>>()},
+        "known": {"index": 1, "snapshot": true, "endpoints": (0..options.servers).map(server).collect::<Vec<_>>()},
         "settings": {
             "Balancers": 1, "Me": 0, "Locality": "a", "Zones": ["a"], "Discovery": "push",
-            "Categories": [{"Name": "fetch", "Aim": nanos(told.aim_ms), "GiveUp": nanos(told.aim_ms * 5 / 2),
+            "Categories": [{"Name": "fetch", "Aim": nanos(options.aim_ms), "GiveUp": nanos(options.aim_ms * 5 / 2),
                             "Semantics": "repeatable", "Group": "all", "Worth": 1.0, "LateValue": 0.0}],
             "Limits": {"ConnIdle": nanos(30_000), "ConnectTimeout": nanos(200), "MaxAttempts": 3,
                        "MaxRetryAfter": nanos(1_000), "RetryAfter": true},
@@ -143,15 +150,15 @@
     .to_string()
 }
 
-/// Servers and discovery, in a thread of their own until the sender is dropped.
-fn serve(told: &Closed, range: &Arc<Range>) -> Result<oneshot::Sender<()>, String> {
+/// Serves the servers and discovery in a dedicated thread until the returned sender is dropped.
+fn serve(options: &Closed, range: &Arc<Range>) -> Result<oneshot::Sender<()>, String> {
     let (stop, stopped) = oneshot::channel::<()>();
-    let (tell, told_of) = std::sync::mpsc::channel();
-    let places: Vec<SocketAddr> = (0..told.servers).map(|n| range.server(0, n as usize)).collect();
-    let (discovery, service, slots) = (range.discovery(0), told.service_ms, told.slots);
+    let (opened_sender, opened_receiver) = std::sync::mpsc::channel();
+    let addresses: Vec<SocketAddr> = (0..options.servers).map(|n| range.server(0, n as usize)).collect();
+    let (discovery, service, slots) = (range.discovery(0), options.service_ms, options.slots);
     let range = range.clone();
     std::thread::spawn(move || {
-        let _range = range; // held until all of its addresses are closed
+        let _range = range; // released when all of its addresses are closed
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
         runtime.block_on(async {
             let mut tasks = JoinSet::new();
@@ -161,31 +168,34 @@
                 socket.bind(at)?;
                 socket.listen(1_024)
             };
-            let opened = places.iter().try_for_each(|&at| {
+            let opened = addresses.iter().try_for_each(|&at| {
                 let slots = slots.map(|slots| Arc::new(Semaphore::new(slots)));
                 tasks.spawn(server(open(at)?, Duration::from_millis(service), slots));
                 Ok(())
             });
             let opened = opened.and_then(|()| {
-                tasks.spawn(watched(open(discovery)?));
+                tasks.spawn(unchanging_discovery(open(discovery)?));
                 Ok::<(), std::io::Error>(())
             });
-            let _ = tell.send(opened.map_err(|error| format!("servers: {error}")));
+            let _ = opened_sender.send(opened.map_err(|error| format!("servers: {error}")));
             let _ = stopped.await;
         });
     });
-    told_of.recv().map_err(|_| "the servers' thread has ended".to_owned())??;
+    opened_receiver
+        .recv()
+        .map_err(|_| "the server thread ended before its sockets were open".to_owned())??;
     Ok(stop)
 }
 
-/// A discovery whose list never changes: watches wait.
-async fn watched(listener: TcpListener) {
-    let mut held = Vec::new();
+/// A discovery service whose list never changes: it leaves every poll unanswered.
+async fn unchanging_discovery(listener: TcpListener) {
+    let mut connections = Vec::new();
     while let Ok((stream, _)) = listener.accept().await {
-        held.push(stream);
+        connections.push(stream);
     }
 }
 
+/// A server that answers each request after the service time, with at most one request per slot.
 async fn server(listener: TcpListener, service: Duration, slots: Option<Arc<Semaphore>>) {
     let mut open = JoinSet::new();
     while let Ok((mut stream, _)) = listener.accept().await {
@@ -209,24 +219,24 @@
     }
 }
 
-async fn play(told: &Closed, name: &str, command: &NodeCommand) -> Result<Played, String> {
+async fn run_rounds(options: &Closed, name: &str, command: &NodeCommand) -> Result<Outcome, String> {
     let range = Arc::new(Range::claim()?);
-    let _servers = serve(told, &range)?;
+    let _servers = serve(options, &range)?;
     let folder = Folder::new(None)?;
-    let mut process = Process::start(command, 0, &configuration(told, &range), SOCKETS, &folder.path)?;
+    let mut process = Process::start(command, 0, &configuration(options, &range), SOCKETS, &folder.path)?;
     let at = range.node(0);
-    if !ready(at, START).await {
-        return Err(format!("the {name} was not ready:\n{}", process.tail()));
+    if !ready(at, START_TIMEOUT).await {
+        return Err(format!("the {name} was not ready within {START_TIMEOUT:?}:\n{}", process.tail()));
     }
-    let (mut later, mut all_served, first) = (0, 0, process.look().cpu_s);
+    let (mut refused_later, mut all_served, first) = (0, 0, process.look().cpu_s);
     let mut cpu = first;
-    for number in 1..=told.rounds {
+    for number in 1..=options.rounds {
         let round = Arc::new(Round::default());
-        let left = Arc::new(AtomicU64::new(told.requests));
+        let left = Arc::new(AtomicU64::new(options.requests));
         let begun = Instant::now();
         let mut clients = JoinSet::new();
-        for n in 0..told.clients_of(number) {
-            clients.spawn(client(at, number << 48 | n << 32, told.aim_ms, left.clone(), round.clone()));
+        for n in 0..options.clients_of(number) {
+            clients.spawn(client(at, number << 48 | n << 32, options.aim_ms, left.clone(), round.clone()));
         }
         let mut latencies = histogram();
         while let Some(ended) = clients.join_next().await {
@@ -236,12 +246,12 @@
         let used = process.look().cpu_s;
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let (served, refused) = (count(&round.served), count(&round.refused));
-        later += count(&round.later);
+        refused_later += count(&round.refused_later);
         all_served += served;
         println!(
             "{name:<10} {number:>5} {served:>8} {:>6} {refused:>8} {:>8} {:>6} {:>8.1} {:>9.1} {:>9.1} {:>10.1}",
             count(&round.late),
-            count(&round.later),
+            count(&round.refused_later),
             count(&round.other),
             begun.elapsed().as_secs_f64(),
             latencies.value_at_quantile(0.5) as f64 / 1e3,
@@ -251,14 +261,14 @@
         cpu = used;
     }
     process.signal(false);
-    let _ = process.wait(END).await;
+    let _ = process.wait(STOP_TIMEOUT).await;
     if name == "node" {
         println!("{}", process.tail());
     }
-    Ok(Played { later, us_served: 1e6 * (cpu - first) / all_served.max(1) as f64 })
+    Ok(Outcome { refused_later, us_served: 1e6 * (cpu - first) / all_served.max(1) as f64 })
 }
 
-/// One client: asks until the round's requests are spent. Latencies in microseconds.
+/// Runs one client until the round's requests are used up. Returns the latencies in microseconds.
 async fn client(
     at: SocketAddr, first: u64, aim_ms: u64, left: Arc<AtomicU64>, round: Arc<Round>,
 ) -> Histogram<u64> {
@@ -266,10 +276,10 @@
     let mut connection: Option<(TcpStream, Reader)> = None;
     let mut number = first;
     let deadline = aim_ms * 5 / 2;
-    let takes = |left: &AtomicU64| {
+    let take_request = |left: &AtomicU64| {
         left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| n.checked_sub(1)).is_ok()
     };
-    while takes(&left) {
+    while take_request(&left) {
         number += 1;
         let (mut stream, mut reader) = match connection.take() {
             Some(open) => open,
@@ -302,7 +312,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
         let refused = matches!(answered.as_ref().map(|answer| answer.status), Some(429 | 503));
         if refused && begun > first_second {
-            round.later.fetch_add(1, Ordering::Relaxed);
+            round.refused_later.fetch_add(1, Ordering::Relaxed);
         }
         if let Some(answer) = answered {
             if answer.status == 200 {
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,17 +1,17 @@
-//! Two builds on the same days in turn.
+//! Paired comparison of two builds that ran the same experiments with the same seeds.
 
-/// The paired differences of one figure.
+/// Statistics of the pairwise differences of one figure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Paired {
-    /// Mean of B over A.
+    /// Mean of B - A.
     pub mean: f64,
-    /// Deviation of the single differences.
+    /// Sample standard deviation of the differences.
     pub deviation: f64,
-    /// The least and the most of them.
+    /// Smallest and largest difference.
     pub range: (f64, f64),
 }
 
-/// How far B lies above A, pair by pair; none without a pair.
+/// Computes B - A for each `(A, B)` pair; returns `None` if there are no pairs.
 pub fn paired(pairs: &[(f64, f64)]) -> Option<Paired> {
     let differences: Vec<f64> = pairs.iter().map(|(a, b)| b - a).collect();
     let count = differences.len() as f64;
--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -1,15 +1,15 @@
-//! The experiments that are kept, and reading others.
+//! The built-in experiments, and reading experiments from files.
 
 use merlinfold_simulation::experiment::Experiment;
 
-macro_rules! kept {
+macro_rules! built_in {
     ($($name:literal),* $(,)?) => {
-        /// Name and text of each.
-        pub const KEPT: &[(&str, &str)] = &[$(($name, include_str!(concat!("../experiments/", $name, ".toml")))),*];
+        /// Name and TOML text of each built-in experiment.
+        pub const BUILT_IN: &[(&str, &str)] = &[$(($name, include_str!(concat!("../experiments/", $name, ".toml")))),*];
     };
 }
 
-kept![
+built_in![
     "calm",
     "crash-quarter",
     "crash-while-slow",
@@ -32,18 +32,19 @@
     "vanished",
 ];
 
-/// The experiment of this name, or else in the file of this name. The error names file, line and field.
+/// Returns the built-in experiment `name`, or reads the file `name`. The error names the file, the line and the field.
 pub fn find(name: &str) -> Result<Experiment, String> {
-    let text = match KEPT.iter().find(|(kept, _)| *kept == name) {
+    let text = match BUILT_IN.iter().find(|(built_in, _)| *built_in == name) {
         Some((_, text)) => (*text).to_owned(),
         None => std::fs::read_to_string(name).map_err(|error| {
-            let names: Vec<&str> = KEPT.iter().map(|(name, _)| *name).collect();
+            let names: Vec<&str> = BUILT_IN.iter().map(|(name, _)| *name).collect();
             format!("{name}: {error}; experiments that are kept: {}", names.join(", "))
         })?,
     };
-    let day: Experiment = merlinfold_config::parse(&text).map_err(|fault| format!("{name}:{fault}"))?;
-    day.check().map_err(|fault| format!("{name}: {fault}"))?;
-    Ok(day)
+    let experiment: Experiment =
+        merlinfold_config::parse(&text).map_err(|fault| format!("{name}:{fault}"))?;
+    experiment.check().map_err(|fault| format!("{name}: {fault}"))?;
+    Ok(experiment)
 }
 
 #[cfg(test)]
@@ -54,27 +55,28 @@
     use merlinfold_simulation::trouble::timeline;
 
     #[test]
-    fn every_kept_experiment_is_valid_and_asks_a_question() {
-        for (name, _) in KEPT {
-            let day = find(name).unwrap();
-            assert!(day.question.ends_with('?'), "{name}: {}", day.question);
-            assert!(!draw(&day, Seed(1)).is_empty(), "{name}");
+    fn every_built_in_experiment_is_valid_and_has_a_question() {
+        for (name, _) in BUILT_IN {
+            let experiment = find(name).unwrap();
+            assert!(experiment.question.ends_with('?'), "{name}: {}", experiment.question);
+            assert!(!draw(&experiment, Seed(1)).is_empty(), "{name}");
         }
     }
 
-    /// Guards comparisons: two builds that play the same seed meet the same day, to the byte.
+    /// Comparisons of two builds need this: the same seed must generate identical requests and faults.
     #[test]
-    fn the_same_seed_gives_the_same_day_to_the_byte_and_another_a_different_one() {
-        for (name, _) in KEPT {
-            let day = find(name).unwrap();
-            let text = |seed| format!("{:?}{:?}", draw(&day, Seed(seed)), timeline(&day, Seed(seed)));
+    fn same_seed_generates_identical_load_and_faults_and_another_seed_differs() {
+        for (name, _) in BUILT_IN {
+            let experiment = find(name).unwrap();
+            let text =
+                |seed| format!("{:?}{:?}", draw(&experiment, Seed(seed)), timeline(&experiment, Seed(seed)));
             assert_eq!(text(7), text(7), "{name}");
             assert_ne!(text(7), text(8), "{name}");
         }
     }
 
     #[test]
-    fn what_cannot_be_is_named() {
+    fn error_names_the_invalid_field() {
         for (change, says) in [
             (("seconds = 12", "seconds = nan"), "seconds"),
             (("seconds = 12", "seconds = 1e9"), "seconds"),
@@ -84,12 +86,12 @@
             (("kind = \"crash\"", "kind = \"flood\""), "trouble[0].kind"),
             (("seconds = 12", "second = 12"), "second"),
         ] {
-            let (_, text) = KEPT.iter().find(|(name, _)| *name == "demo").unwrap();
+            let (_, text) = BUILT_IN.iter().find(|(name, _)| *name == "demo").unwrap();
             assert!(text.contains(change.0), "{change:?}");
             let read = merlinfold_config::parse::<Experiment>(&text.replacen(change.0, change.1, 1));
             let fault = match read {
                 Err(fault) => fault.to_string(),
-                Ok(day) => day.check().unwrap_err().to_string(),
+                Ok(experiment) => experiment.check().unwrap_err().to_string(),
             };
             assert!(fault.contains(says), "{change:?}: {fault}");
         }
--- a/crates/lab/src/html.rs
+++ b/crates/lab/src/html.rs
@@ -1,15 +1,16 @@
-//! The report as one page that needs nothing else.
+//! Formats a report as a self-contained HTML page.
 
 use std::fmt::Write as _;
 
 use merlinfold_simulation::report::{Report, Span};
 use plotters::prelude::*;
 
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (960, 260);
-/// Servers whose load is drawn one by one.
-const SERVERS_MOST: usize = 40;
+/// Maximum servers with a line of their own in the plot of attempts.
+const MAX_SERVERS: usize = 40;
 
-/// The page.
+/// Formats the page. Fails if a plot cannot be drawn.
 pub fn page(report: &Report) -> Result<String, String> {
     let span = |of: fn(&Span) -> f64| -> Vec<(f64, f64)> {
         report.points.iter().map(|point| (point.from_s, of(point))).collect()
@@ -33,7 +34,7 @@
     let load: Vec<Line> = report
         .load
         .iter()
-        .take(SERVERS_MOST)
+        .take(MAX_SERVERS)
         .enumerate()
         .map(|(n, attempts)| {
             let hue = HSLColor(n as f64 / report.load.len().max(1) as f64, 0.7, 0.45).to_rgba();
@@ -89,13 +90,15 @@
     ))
 }
 
-/// Text as it stands in a page.
+/// Escapes text for HTML.
 fn escaped(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
+/// Name, colour and points of a line.
 type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
 
+/// Draws lines and the report's marks as SVG.
 fn plot(report: &Report, unit: &str, lines: &[Line]) -> Result<String, Box<dyn std::error::Error>> {
     let mut svg = String::new();
     {
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -1,58 +1,59 @@
-//! The little of HTTP/1.1 (RFC 9112) that clients and servers of the lab speak: messages with a stated
-//! length on kept connections. A library would hide what has to be seen here: when the last byte was
-//! written, what comes after an answer, and where a connection breaks.
+//! The subset of HTTP/1.1 (RFC 9112) that the lab's clients and servers use: messages with a Content-Length on
+//! persistent connections. An HTTP library would hide what the lab has to observe: when the last byte was
+//! written, which bytes follow a response, and where a connection breaks.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-const HEAD_MOST: usize = 16 << 10;
-const BODY_MOST: usize = 8 << 20;
-const HEADERS_MOST: usize = 64;
+/// Limits in bytes and in headers; a peer that exceeds them gets an error.
+const MAX_HEAD: usize = 16 << 10;
+const MAX_BODY: usize = 8 << 20;
+const MAX_HEADERS: usize = 64;
 
-/// A message as it was read.
+/// A parsed request or response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Message {
-    /// Method and path of a request; empty of an answer.
+    /// Method and path of a request; empty for a response.
     pub target: (String, String),
-    /// Status of an answer; 0 of a request.
+    /// Status of a response; 0 for a request.
     pub status: u16,
-    /// Names in lower case.
+    /// Headers in order; names are in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Bytes of the body; empty without a Content-Length.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The first header of this name, in lower case.
+    /// Value of the first header with this name, which must be given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    /// The sender closes the connection after it.
+    /// Whether the sender closes the connection after this message.
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
-    /// A value of the query, by name.
+    /// Value of a query parameter of the request's path.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.1.split_once('?')?;
         query.split('&').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
     }
 }
 
-/// What has been read of a connection.
+/// Buffer of bytes that were read from a connection and not parsed yet.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: Vec<u8>,
 }
 
-/// Which kind of message is expected.
+/// The reading side of a connection, which decides the kind of message that is expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// Requests.
+    /// Reads requests.
     Server,
-    /// Answers.
+    /// Reads responses.
     Client,
 }
 
@@ -61,17 +62,18 @@
 }
 
 impl Reader {
-    /// Whether anything is there that no message has taken.
+    /// Whether the buffer has bytes that belong to no message returned so far.
     pub fn has_more(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Takes in what has come. Cancel safe: what was read stays.
+    /// Reads once into the buffer and returns the number of bytes, 0 at the end of the stream. Cancel safe: bytes
+    /// that were read stay in the buffer.
     pub async fn fill(&mut self, from: &mut (impl AsyncRead + Unpin)) -> io::Result<usize> {
         from.read_buf(&mut self.buffer).await
     }
 
-    /// The next message; none if the connection ended before its first byte. Cancel safe.
+    /// Reads the next message; returns `None` if the connection ended before its first byte. Cancel safe.
     pub async fn next(
         &mut self, from: &mut (impl AsyncRead + Unpin), side: Side,
     ) -> io::Result<Option<Message>> {
@@ -90,9 +92,10 @@
     }
 }
 
-/// The message at the beginning and its length; none if it is not whole yet.
+/// Parses the message at the start of `bytes` and returns it with its length, or `None` while it is incomplete.
+/// Fails on invalid syntax and on a head or body over the limits.
 pub fn parse(bytes: &[u8], side: Side) -> io::Result<Option<(Message, usize)>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut message = Message::default();
     let (status, parsed) = match side {
         Side::Server => {
@@ -111,7 +114,11 @@
         }
     };
     let httparse::Status::Complete(head) = status else {
-        return if bytes.len() > HEAD_MOST { Err(invalid("too long a head")) } else { Ok(None) };
+        return if bytes.len() > MAX_HEAD {
+            Err(invalid(format!("message head exceeds {MAX_HEAD} bytes")))
+        } else {
+            Ok(None)
+        };
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_owned();
     message.headers = parsed.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect();
@@ -119,15 +126,15 @@
         Some(length) => length.parse::<usize>().map_err(invalid)?,
         None => 0,
     };
-    if length > BODY_MOST {
-        return Err(invalid("too long a body"));
+    if length > MAX_BODY {
+        return Err(invalid(format!("message body exceeds {MAX_BODY} bytes")));
     }
     let Some(end) = head.checked_add(length).filter(|&end| end <= bytes.len()) else { return Ok(None) };
     message.body = bytes[head..end].to_vec();
     Ok(Some((message, end)))
 }
 
-/// An answer's bytes.
+/// Formats a response with a Content-Length; each line of `headers` ends in CRLF.
 pub fn answer(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len()).into_bytes()
 }
@@ -138,10 +145,9 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever comes, parsing ends in a message, in waiting for more or in an error, and a message never
-        /// takes more bytes than there are.
+        /// Parsing arbitrary bytes must not panic, and the length of a message must not exceed the input.
         #[test]
-        fn any_bytes_end_in_a_message_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        fn parsing_arbitrary_bytes_does_not_panic_or_overrun(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
             for side in [Side::Server, Side::Client] {
                 if let Ok(Some((_, length))) = parse(&bytes, side) {
                     prop_assert!(length <= bytes.len());
@@ -149,9 +155,10 @@
             }
         }
 
-        /// A message comes out as it went in, whatever follows it, and not before its last byte.
+        /// A response parses to the values it was formatted from, independent of the bytes that follow, and does not
+        /// parse before its last byte is there.
         #[test]
-        fn an_answer_comes_out_as_it_went_in(status in 200u16..600, body in "[ -~]{0,60}", rest in "[a-z]{0,9}") {
+        fn formatted_response_parses_to_the_same_values(status in 200u16..600, body in "[ -~]{0,60}", rest in "[a-z]{0,9}") {
             let whole = answer(status, "X-A: b\r\n", &body);
             let bytes = [&whole[..], rest.as_bytes()].concat();
             let (message, length) = parse(&bytes, Side::Client).unwrap().unwrap();
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,11 +1,13 @@
-//! The lab: plays days of the [`merlinfold_simulation`] against real node processes on loopback sockets.
+//! The lab runs the experiments of [`merlinfold_simulation`] against real node processes on loopback sockets.
 //!
-//! It starts the nodes, plays guide servers, discovery, the front and the clients around them, causes what an
-//! experiment says goes wrong, writes down on both sides what becomes of every request, and judges. It
-//! trusts no node: a node is any program that reads the platform's configuration.
+//! It starts the nodes, simulates the guide servers, discovery, the front and the clients around them, injects the
+//! faults that an experiment lists, records what happens to every request on both sides, and checks the records
+//! against the invariants. It relies on no node's own account: a node is any program that reads the platform's
+//! configuration.
 //!
-//! It does not show what a network of many machines does: all parties share this machine's cores and its
-//! loopback. It measures its own lateness and calls a run void that it could not keep time for.
+//! The lab does not show the behaviour of a network of many machines, because all parties share the cores and the
+//! loopback interface of one machine. It measures how late its own timers fire and marks a run as void if it could
+//! not keep to the schedule.
 
 pub mod capacity;
 pub mod closed;
@@ -16,8 +18,8 @@
 mod load;
 pub mod net;
 pub mod platform;
-pub mod play;
 pub mod process;
+pub mod runner;
 pub mod scale;
 mod servers;
 pub mod sim;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets, in a thread of their own: open-loop, so that slow answers don't thin the load.
+//! Clients on sockets, served by a dedicated thread. The load is open-loop: slow responses do not reduce the rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,15 +22,16 @@
 use crate::servers::body;
 use crate::time::{Clock, Timer};
 
-/// Idle connections that all clients keep to one node.
-const IDLE_MOST: usize = 256;
+/// Maximum idle connections that all clients together keep to one node.
+const MAX_IDLE: usize = 256;
 
-/// What peers send that send no proper request.
-const IMPROPER: [&[u8]; 4] =
+/// Bytes that peers without a valid request send: nothing, an incomplete head, or no HTTP.
+const INVALID_REQUESTS: [&[u8]; 4] =
     [b"", b"", b"GET /track-fetch HTTP/1.1\r\nHost: serv", b"\x16\x03\x01\x02\x00nonsense\r\n\r\n"];
 
-struct Desk {
-    day: Experiment,
+/// State of the clients that the threads of a run share.
+struct ClientState {
+    experiment: Experiment,
     clients: Clients,
     front: Front,
     rng: Stream,
@@ -48,33 +49,34 @@
     reader: Reader,
 }
 
-/// A handle on the clients.
+/// Handle of the clients.
 #[derive(Clone)]
-pub struct Load(Arc<Mutex<Desk>>);
+pub struct Load(Arc<Mutex<ClientState>>);
 
-/// What the clients saw.
+/// Records of the clients' side.
 pub struct Seen {
-    /// All that was wanted.
+    /// Every request that a client wanted answered.
     pub wishes: Vec<Wish>,
-    /// Tries.
+    /// Tries of these requests.
     pub tries: Vec<Tried>,
-    /// Peers without a proper request.
+    /// Peers that sent no valid request.
     pub peers: Vec<Peer>,
-    /// Lateness of first tries, in microseconds.
+    /// Delay of tries after their planned time, in microseconds.
     pub late: Histogram<u64>,
 }
 
 impl Load {
-    /// Starts the clients' thread; they begin when told. The receiver hears when all are done.
+    /// Starts the clients' thread. The clients begin when the returned `Notify` is notified after the start of the
+    /// clock; the receiver resolves when all requests are done.
     pub fn start(
-        day: &Experiment, seed: Seed, clock: &Clock, range: &Range,
+        experiment: &Experiment, seed: Seed, clock: &Clock, range: &Range,
     ) -> (Self, Arc<Notify>, oneshot::Receiver<()>) {
         let wake = Arc::new(Notify::new());
-        let count = day.nodes.count;
-        let desk = Desk {
-            day: day.clone(),
-            clients: Clients::new(day, seed),
-            front: Front::new((0..count).map(|node| day.zone_of_node(node)).collect()),
+        let count = experiment.nodes.count;
+        let state = ClientState {
+            experiment: experiment.clone(),
+            clients: Clients::new(experiment, seed),
+            front: Front::new((0..count).map(|node| experiment.zone_of_node(node)).collect()),
             rng: seed.stream("front", 0),
             nodes: (0..count).map(|node| range.node(node)).collect(),
             idle: (0..count).map(|_| Vec::new()).collect(),
@@ -84,19 +86,19 @@
             clock: clock.clone(),
             timer: Timer::new(clock.clone(), wake.clone()),
         };
-        let load = Load(Arc::new(Mutex::new(desk)));
+        let load = Load(Arc::new(Mutex::new(state)));
         let (tell, done) = oneshot::channel();
-        let (of_thread, of_wake) = (load.clone(), wake.clone());
+        let (thread_load, thread_wake) = (load.clone(), wake.clone());
         std::thread::spawn(move || {
             match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-                Ok(runtime) => runtime.block_on(of_thread.run(of_wake, tell)),
-                Err(error) => tracing::error!(%error, "the clients have no runtime"),
+                Ok(runtime) => runtime.block_on(thread_load.run(thread_wake, tell)),
+                Err(error) => tracing::error!(%error, "creating the runtime of the clients failed"),
             }
         });
         (load, wake, done)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Desk> {
+    fn lock(&self) -> MutexGuard<'_, ClientState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -105,54 +107,54 @@
             wake.notified().await;
             loop {
                 let started = {
-                    let mut desk = self.lock();
-                    let now = desk.clock.now();
-                    let started = desk.clock.started().then(|| desk.clients.start(now)).flatten();
+                    let mut state = self.lock();
+                    let now = state.clock.now();
+                    let started = state.clock.started().then(|| state.clients.start(now)).flatten();
                     if let Some(start) = started {
-                        desk.late.saturating_record(micros(now - start.planned));
+                        state.late.saturating_record(micros(now - start.planned));
                     }
                     started
                 };
                 let Some(start) = started else { break };
                 tokio::spawn(self.clone().attend(start));
             }
-            let desk = self.lock();
-            if desk.clients.done() {
+            let state = self.lock();
+            if state.clients.done() {
                 break;
             }
-            desk.timer.set(desk.clients.next_due());
+            state.timer.set(state.clients.next_due());
         }
         let _ = done.send(());
     }
 
-    /// The front hears that a node is ready, or that it has ended and when that will be noticed.
+    /// Tells the front that a node is ready (`None`), or that it ended and when the front notices (`Some`).
     pub fn node(&self, node: usize, gone: Option<Nanos>) {
-        let mut desk = self.lock();
+        let mut state = self.lock();
         match gone {
-            None => desk.front.ready(node),
-            Some(noticed) => desk.front.gone(node, noticed),
+            None => state.front.ready(node),
+            Some(noticed) => state.front.gone(node, noticed),
         }
-        desk.idle[node].clear();
+        state.idle[node].clear();
     }
 
-    /// What has been seen so far.
+    /// Takes the records made so far.
     pub fn seen(&self) -> Seen {
-        let mut desk = self.lock();
+        let mut state = self.lock();
         Seen {
-            wishes: desk.clients.wishes().to_vec(),
-            tries: std::mem::take(&mut desk.tries),
-            peers: std::mem::take(&mut desk.peers),
-            late: desk.late.clone(),
+            wishes: state.clients.wishes().to_vec(),
+            tries: std::mem::take(&mut state.tries),
+            peers: std::mem::take(&mut state.peers),
+            late: state.late.clone(),
         }
     }
 
     async fn attend(self, start: Try) {
         let (node, at, grace) = {
-            let mut desk = self.lock();
-            let now = desk.clock.now();
-            let desk = &mut *desk;
-            let node = desk.front.pick(now, start.wish.zone, &mut desk.rng);
-            (node, node.map(|node| desk.nodes[node]), millis(desk.day.rules.grace_ms))
+            let mut state = self.lock();
+            let now = state.clock.now();
+            let state = &mut *state;
+            let node = state.front.pick(now, start.wish.zone, &mut state.rng);
+            (node, node.map(|node| state.nodes[node]), millis(state.experiment.rules.grace_ms))
         };
         let mut tried = Tried {
             is: start,
@@ -165,9 +167,9 @@
             extra: false,
         };
         if let (Some(node), Some(at)) = (node, at) {
-            let most = start.budget + grace;
-            let most = start.leaves_after.map_or(most, |leaves| most.min(leaves));
-            let asked = timeout(Duration::from_nanos(most), self.ask(node, at, start, &mut tried)).await;
+            let limit = start.budget + grace;
+            let limit = start.leaves_after.map_or(limit, |leaves| limit.min(leaves));
+            let asked = timeout(Duration::from_nanos(limit), self.ask(node, at, start, &mut tried)).await;
             tried.end = match asked {
                 Ok(end) => end,
                 Err(_) if tried.written.is_none() => End::Unreachable,
@@ -175,29 +177,29 @@
                 Err(_) => End::Unanswered,
             };
         }
-        let mut desk = self.lock();
-        tried.ended = desk.clock.now();
-        desk.tries.push(tried);
-        desk.clients.ended(tried.ended, start.id, tried.end);
-        desk.timer.set(desk.clients.next_due());
-        if desk.clients.done() {
-            desk.timer.wake().notify_one();
+        let mut state = self.lock();
+        tried.ended = state.clock.now();
+        state.tries.push(tried);
+        state.clients.ended(tried.ended, start.id, tried.end);
+        state.timer.set(state.clients.next_due());
+        if state.clients.done() {
+            state.timer.wake().notify_one();
         }
     }
 
     async fn ask(&self, node: usize, at: SocketAddr, start: Try, tried: &mut Tried) -> End {
         let text = self.request(&start);
         loop {
-            let kept = self.kept(node, tried);
-            tried.first = kept.is_none();
-            let mut connection = match kept {
-                Some(kept) => kept,
+            let idle = self.take_idle(node, tried);
+            tried.first = idle.is_none();
+            let mut connection = match idle {
+                Some(idle) => idle,
                 None => match TcpStream::connect(at).await {
                     Ok(stream) => {
                         let _ = stream.set_nodelay(true);
                         Connection { stream, reader: Reader::default() }
                     }
-                    // What was written before on a kept connection may have run.
+                    // The request that was written on an idle connection before may have been executed.
                     Err(_) if tried.written.is_some() => return End::Closed,
                     Err(_) => return End::Unreachable,
                 },
@@ -207,34 +209,35 @@
                 if tried.first {
                     return End::Closed;
                 }
-                // A close that crossed the request, as far as the client can tell: once more, on a new connection.
+                // The node may have closed the idle connection while the request was sent: retry once on a new connection.
                 tried.closed = Some(self.lock().clock.now());
                 continue;
             };
             if keep {
-                let mut desk = self.lock();
-                if desk.idle[node].len() < IDLE_MOST {
-                    desk.idle[node].push(connection);
+                let mut state = self.lock();
+                if state.idle[node].len() < MAX_IDLE {
+                    state.idle[node].push(connection);
                 }
             }
             return end;
         }
     }
 
-    /// A kept connection that is still open, the last used first.
-    fn kept(&self, node: usize, tried: &mut Tried) -> Option<Connection> {
-        let mut desk = self.lock();
-        while let Some(kept) = desk.idle[node].pop() {
-            match kept.stream.try_read(&mut [0; 1]) {
-                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return Some(kept),
-                Ok(1) => tried.extra = true, // after the answer before came more
+    /// Takes the most recently used idle connection that is still open.
+    fn take_idle(&self, node: usize, tried: &mut Tried) -> Option<Connection> {
+        let mut state = self.lock();
+        while let Some(idle) = state.idle[node].pop() {
+            match idle.stream.try_read(&mut [0; 1]) {
+                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return Some(idle),
+                Ok(1) => tried.extra = true, // bytes followed the previous response
                 _ => {}
             }
         }
         None
     }
 
-    /// The end, and whether the connection stays; none if it ended before a first byte came back.
+    /// Sends a request and reads the response. Returns how the try ended and whether the connection can be reused,
+    /// or `None` if the connection ended before the first byte of a response.
     async fn exchange(
         &self, connection: &mut Connection, text: &[u8], id: u64, tried: &mut Tried,
     ) -> Option<(End, bool)> {
@@ -256,20 +259,24 @@
     }
 
     fn request(&self, start: &Try) -> Vec<u8> {
-        let desk = self.lock();
+        let state = self.lock();
         let Wish { class, tenant, key, work, .. } = start.wish;
-        let class = &desk.day.classes[class];
+        let class = &state.experiment.classes[class];
         let method = match class.effect {
             Effect::Safe => "GET",
             Effect::Unsafe => "POST",
         };
-        let tenant =
-            desk.day.tenants.get(tenant).map(|t| format!("X-Org: {}\r\n", t.name)).unwrap_or_default();
-        let again = if desk.day.clients.marks && start.number > 0 { "X-Resent: 1\r\n" } else { "" };
+        let tenant = state
+            .experiment
+            .tenants
+            .get(tenant)
+            .map(|t| format!("X-Org: {}\r\n", t.name))
+            .unwrap_or_default();
+        let resent = if state.experiment.clients.marks && start.number > 0 { "X-Resent: 1\r\n" } else { "" };
         let length = if class.effect == Effect::Safe { "" } else { "Content-Length: 0\r\n" };
         format!(
             "{method} /{name}?sid={key:x}&work={work} HTTP/1.1\r\nHost: service.internal\r\nX-Lane: {name}\r\n\
-             X-Txn: {id:016x}\r\nX-Remaining-Ms: {budget}\r\n{tenant}{again}{length}\r\n",
+             X-Txn: {id:016x}\r\nX-Remaining-Ms: {budget}\r\n{tenant}{resent}{length}\r\n",
             name = class.name,
             id = start.id,
             budget = start.budget / MS,
@@ -277,20 +284,20 @@
         .into_bytes()
     }
 
-    /// One peer that connects and sends nothing, half a head or no HTTP, in turn; it stays until it has an error or a close, or twice the time
-    /// in which it is owed that.
+    /// Runs a peer that connects and sends nothing, an incomplete head or no HTTP, in rotation. It waits for an error
+    /// response or a close, at most for twice the time within which the node must send one.
     pub async fn silent_peer(self, node: usize) {
-        let (at, most, clock) = {
-            let desk = self.lock();
-            (desk.nodes[node], 2 * millis(desk.day.rules.bad_peer_ms), desk.clock.clone())
+        let (at, limit, clock) = {
+            let state = self.lock();
+            (state.nodes[node], 2 * millis(state.experiment.rules.bad_peer_ms), state.clock.clone())
         };
         let from = clock.now();
-        let Ok(Ok(mut stream)) = timeout(Duration::from_nanos(most), TcpStream::connect(at)).await else {
+        let Ok(Ok(mut stream)) = timeout(Duration::from_nanos(limit), TcpStream::connect(at)).await else {
             return;
         };
-        let turn = self.lock().peers.len() % IMPROPER.len();
-        let _ = stream.write_all(IMPROPER[turn]).await;
-        let read = timeout(Duration::from_nanos(most), stream.read(&mut [0; 64])).await;
+        let turn = self.lock().peers.len() % INVALID_REQUESTS.len();
+        let _ = stream.write_all(INVALID_REQUESTS[turn]).await;
+        let read = timeout(Duration::from_nanos(limit), stream.read(&mut [0; 64])).await;
         let ended = read.is_ok().then(|| clock.now());
         self.lock().peers.push(Peer { node, at: from, ended });
     }
@@ -305,9 +312,9 @@
     }
 }
 
-/// Waits until a node says that it is ready; false if it does not in time.
-pub async fn ready(at: SocketAddr, most: Duration) -> bool {
-    let asked = timeout(most, async {
+/// Polls a node's readiness check until it succeeds; returns false after the timeout `limit`.
+pub async fn ready(at: SocketAddr, limit: Duration) -> bool {
+    let asked = timeout(limit, async {
         loop {
             if let Ok(mut stream) = TcpStream::connect(at).await {
                 let text =
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -7,13 +7,13 @@
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use merlinfold_lab::compare::paired;
-use merlinfold_lab::play::{play, Plan, Played};
 use merlinfold_lab::process::NodeCommand;
-use merlinfold_lab::{capacity, experiments, html, scale, sim, trial};
+use merlinfold_lab::runner::{Plan, RunOutcome};
+use merlinfold_lab::{capacity, experiments, html, runner, scale, sim, trial};
 use merlinfold_simulation::experiment::Experiment;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Plays days of traffic and trouble against real nodes on loopback, and says what was served and which
+/// Runs experiments with traffic and faults against real nodes on loopback, and reports what was served and which
 /// rules were kept.
 #[derive(Debug, Parser)]
 #[command(
@@ -29,83 +29,83 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// A short day with a crash and a drain against three nodes; leaves its page in the temporary folder.
+    /// Run a short experiment with a crash and a drain against three nodes; writes its page to the temporary folder.
     Demo(Common),
-    /// Play one experiment.
+    /// Run one experiment.
     Run {
-        /// The name of a kept experiment, or a file.
+        /// Name of a built-in experiment, or a file.
         experiment: String,
         #[command(flatten)]
         common: Common,
-        /// In virtual time, with the decision module itself instead of node processes: the same seed gives
-        /// the same report.
+        /// Run in virtual time, with the decision module instead of node processes: the same seed gives the same
+        /// report.
         #[arg(long = "virtual", conflicts_with = "node")]
         in_virtual_time: bool,
         /// Write the report as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Write the report as one page.
+        /// Write the report as an HTML page.
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
         /// Keep the configurations and logs of the nodes in this folder.
         #[arg(long, value_name = "FOLDER")]
         logs: Option<PathBuf>,
     },
-    /// Play two builds in turn on the same days and print the paired difference.
+    /// Run two builds alternately on the same experiments and print the paired difference.
     Compare {
         /// Command of the first node; `own` for this build.
         a: String,
-        /// Command of the second.
+        /// Command of the second node.
         b: String,
-        /// Experiments to play, by name or file.
+        /// Experiments to run, by name or file.
         #[arg(long = "on", value_name = "EXPERIMENT", default_value = "calm")]
         experiments: Vec<String>,
-        /// Seeds to play of each: 1, 2, 3 ...
+        /// Number of seeds for each experiment: 1, 2, 3 ...
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=100))]
         seeds: u64,
     },
-    /// Measure how many requests a second the lab can offer to one node while it keeps time.
+    /// Measure the request rate that the lab can offer to one node without running late.
     Load(Common),
-    /// Measure the processor time of a node for each request beside that of a bare forwarder, in turn.
+    /// Measure the processor time per request of a node and of a bare forwarder.
     Cost {
         #[command(flatten)]
         common: Common,
-        /// Command of what decides nothing; else the bare forwarder of this build.
+        /// Command to compare with; the default is the bare forwarder of this build.
         #[arg(long, value_name = "COMMAND")]
         against: Option<String>,
-        /// Instead: the node in a fleet with so many other members beside the same node without a fleet.
+        /// Compare the node in a fleet with this many other members with the same node without a fleet.
         #[arg(long, value_name = "MEMBERS", conflicts_with = "against")]
         fleet: Option<usize>,
-        /// Pairs to play.
+        /// Number of pairs to run.
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=100))]
         pairs: u64,
     },
-    /// Play trials: what fails between many processes, and the laws that hold all the while.
+    /// Run trials: inject faults between many processes and check the invariants.
     Trial {
         #[command(subcommand)]
         command: trial::command::Command,
     },
-    /// Measure what a node's data plane costs by the size of the fleet, with fits and their forecasts.
+    /// Measure the cost of a node's data plane by the size of the fleet, with fits and forecasts.
     Capacity {
         #[command(subcommand)]
         command: capacity::command::Command,
     },
-    /// Measure what each control role costs by the size of the fleet.
+    /// Measure the cost of each control role by the size of the fleet.
     Scale {
         #[command(subcommand)]
         command: scale::command::Command,
     },
-    /// Let clients ask again as soon as they are answered or refused, beside a bare forwarder.
+    /// Run closed-loop clients against a node and against a bare forwarder.
     Closed(merlinfold_lab::closed::Closed),
-    /// List the kept experiments and what they ask.
+    /// List the built-in experiments and their questions.
     List,
-    /// This program as a node, which is what the lab starts.
+    /// Run this program as a node; the lab starts its nodes this way.
     #[command(hide = true)]
     Node {
-        /// The product's own configuration.
+        /// Configuration file of the product.
         #[arg(long)]
         config: Option<PathBuf>,
-        /// Its files are on a store that does what is written beside its folder, drawn from this seed.
+        /// Seed of a fault-injecting store for the node's files; a file beside its folder says which faults.
         #[arg(long)]
         store: Option<u64>,
     },
@@ -113,35 +113,35 @@
 
 #[derive(Debug, Args)]
 struct Common {
-    /// Seed of all that is drawn; else the experiment's own.
+    /// Seed of all generated values; the default is the experiment's own.
     #[arg(long)]
     seed: Option<u64>,
-    /// Command of a node; else this build's own.
+    /// Command of a node; the default is this build's own node.
     #[arg(long, value_name = "COMMAND")]
     node: Option<String>,
 }
 
-/// Exit code of a run that the lab could not keep time for.
-const VOID: u8 = 3;
+/// Exit code of a run in which the lab itself was too late.
+const EXIT_VOID: u8 = 3;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    // A node whose log cannot be written goes on all the same, as the product does.
+    // A node whose log cannot be written keeps running, as the product does.
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).log_internal_errors(false);
     log.with_ansi(false).with_target(false).init();
     let ended = match cli.command {
         Command::Node { config, store } => node(config.as_deref(), store).map(|()| ExitCode::SUCCESS),
-        Command::List => experiments::KEPT
+        Command::List => experiments::BUILT_IN
             .iter()
             .try_for_each(|(name, _)| {
-                experiments::find(name).map(|day| println!("{name:<30} {}", day.question))
+                experiments::find(name).map(|experiment| println!("{name:<30} {}", experiment.question))
             })
             .map(|()| ExitCode::SUCCESS),
         Command::Capacity { command } => capacity::command::carry_out(command),
-        other => runtime().and_then(|runtime| runtime.block_on(until_ended(other))),
+        other => runtime().and_then(|runtime| runtime.block_on(run_until_signal(other))),
     };
-    ended.unwrap_or_else(|fault| {
-        eprintln!("merlinfold-lab: {fault}");
+    ended.unwrap_or_else(|error| {
+        eprintln!("merlinfold-lab: {error}");
         ExitCode::FAILURE
     })
 }
@@ -152,7 +152,7 @@
             let text =
                 std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
             let config: merlinfold_config::Config =
-                merlinfold_config::parse(&text).map_err(|fault| format!("{}:{fault}", path.display()))?;
+                merlinfold_config::parse(&text).map_err(|error| format!("{}:{error}", path.display()))?;
             config.fleet
         }
         None => None,
@@ -165,27 +165,28 @@
     runtime.map_err(|error| format!("runtime: {error}"))
 }
 
-/// A signal ends the run; whatever was started ends with it.
-async fn until_ended(command: Command) -> Result<ExitCode, String> {
+/// Runs a command until it ends or SIGINT or SIGTERM arrives. Everything that the command started ends with it.
+async fn run_until_signal(command: Command) -> Result<ExitCode, String> {
     let cannot = |error| format!("signals: {error}");
     let mut interrupt = signal(SignalKind::interrupt()).map_err(cannot)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(cannot)?;
     tokio::select! {
-        ended = carry_out(command) => ended,
+        ended = execute(command) => ended,
         _ = interrupt.recv() => Err("interrupted".to_owned()),
-        _ = terminate.recv() => Err("told to end".to_owned()),
+        _ = terminate.recv() => Err("terminated by SIGTERM".to_owned()),
     }
 }
 
-fn command(words: Option<&str>) -> Result<NodeCommand, String> {
+/// The node command that a user gave; without one, or with `own`, this build's own node.
+fn node_command(words: Option<&str>) -> Result<NodeCommand, String> {
     match words {
         None | Some("own") => NodeCommand::own(),
         Some(words) => NodeCommand::of(words),
     }
 }
 
-async fn carry_out(told: Command) -> Result<ExitCode, String> {
-    match told {
+async fn execute(command: Command) -> Result<ExitCode, String> {
+    match command {
         Command::Demo(common) => {
             let page = std::env::temp_dir().join("merlinfold-lab-demo.html");
             let out = Out { html: Some(page), ..Out::default() };
@@ -197,18 +198,18 @@
         Command::Compare { a, b, experiments, seeds } => compare(&a, &b, &experiments, seeds).await,
         Command::Load(common) => load(&common).await,
         Command::Cost { common, fleet: Some(members), pairs, .. } => {
-            let node = command(common.node.as_deref())?;
+            let node = node_command(common.node.as_deref())?;
             let (members, joined) = trial::members::start(members, &node).await?;
             let ended = cost([joined, node], "in a fleet", "without", pairs).await;
             members.end();
             ended
         }
         Command::Cost { common, against, pairs, .. } => {
-            let own =
-                std::env::current_exe().map_err(|error| format!("cannot name this program: {error}"))?;
-            let bare = own.with_file_name("merlinfold-lab-forwarder").display().to_string();
-            let bare = NodeCommand::of(against.as_deref().unwrap_or(&bare))?;
-            cost([command(common.node.as_deref())?, bare], "node", "forwarder", pairs).await
+            let own = std::env::current_exe()
+                .map_err(|error| format!("cannot determine the path of this program: {error}"))?;
+            let forwarder = own.with_file_name("merlinfold-lab-forwarder").display().to_string();
+            let forwarder = NodeCommand::of(against.as_deref().unwrap_or(&forwarder))?;
+            cost([node_command(common.node.as_deref())?, forwarder], "node", "forwarder", pairs).await
         }
         Command::Closed(closed) => merlinfold_lab::closed::run(&closed).await,
         Command::Scale { command } => scale::command::carry_out(command).await,
@@ -217,7 +218,7 @@
     }
 }
 
-/// Where a report goes besides the terminal.
+/// Files to which a report is written in addition to the terminal.
 #[derive(Default)]
 struct Out {
     json: Option<PathBuf>,
@@ -225,27 +226,27 @@
     logs: Option<PathBuf>,
 }
 
-async fn one(plan: Plan) -> Result<Played, String> {
-    // Drawn on a terminal only.
-    let bar = ProgressBar::new((plan.day.seconds * 1e3) as u64);
+/// Runs a plan with a progress bar, which is shown on a terminal only.
+async fn run_with_progress(plan: Plan) -> Result<RunOutcome, String> {
+    let bar = ProgressBar::new((plan.experiment.seconds * 1e3) as u64);
     if let Ok(style) = ProgressStyle::with_template("{msg} {wide_bar} {percent}%") {
         bar.set_style(style);
     }
-    bar.set_message(format!("{} (seed {})", plan.name, plan.day.seed));
-    let played = play(plan, |passed: Duration| bar.set_position(passed.as_millis() as u64)).await;
+    bar.set_message(format!("{} (seed {})", plan.name, plan.experiment.seed));
+    let outcome = runner::run(plan, |passed: Duration| bar.set_position(passed.as_millis() as u64)).await;
     bar.finish_and_clear();
-    played
+    outcome
 }
 
 async fn run(name: &str, common: &Common, in_virtual_time: bool, out: Out) -> Result<ExitCode, String> {
-    let mut day = experiments::find(name)?;
-    day.seed = common.seed.unwrap_or(day.seed);
-    let Played { report, breaches, tails } = if in_virtual_time {
-        let (report, breaches) = sim::play(name, &day)?;
-        Played { report, breaches, tails: Vec::new() }
+    let mut experiment = experiments::find(name)?;
+    experiment.seed = common.seed.unwrap_or(experiment.seed);
+    let RunOutcome { report, breaches, tails } = if in_virtual_time {
+        let (report, breaches) = sim::run(name, &experiment)?;
+        RunOutcome { report, breaches, tails: Vec::new() }
     } else {
-        let nodes = command(common.node.as_deref())?;
-        one(Plan { name: name.to_owned(), day, nodes, logs: out.logs }).await?
+        let nodes = node_command(common.node.as_deref())?;
+        run_with_progress(Plan { name: name.to_owned(), experiment, nodes, logs: out.logs }).await?
     };
     println!("{name}: {} Seed {}, nodes: {}.", report.question, report.seed, report.nodes);
     print!("{}", report.table());
@@ -274,14 +275,15 @@
     }
     if let Some(void) = report.lab.void {
         println!("VOID {void}");
-        return Ok(ExitCode::from(VOID));
+        return Ok(ExitCode::from(EXIT_VOID));
     }
     println!("{}", if breaches.is_empty() { "all rules kept" } else { "rules were broken" });
     Ok(if breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
+/// Runs two builds with the same seeds and prints the differences of their served worth.
 async fn compare(a: &str, b: &str, names: &[String], seeds: u64) -> Result<ExitCode, String> {
-    let commands = [command(Some(a))?, command(Some(b))?];
+    let commands = [node_command(Some(a))?, node_command(Some(b))?];
     let (mut all, mut void) = (Vec::new(), 0);
     println!(
         "{:<30} {:>4}  {:>7} {:>7} {:>8}  {:>8} {:>8}  broken A B",
@@ -291,17 +293,17 @@
         let mut pairs = Vec::new();
         for seed in 1..=seeds {
             let mut both = Vec::new();
-            // Which goes first changes with the seed, so that a machine that tires favours neither.
+            // The order alternates with the seed, so that a machine that slows down over time favours neither.
             let order = if seed % 2 == 1 { [0, 1] } else { [1, 0] };
             for side in order {
-                let mut day = experiments::find(name)?;
-                day.seed = seed;
-                let plan = Plan { name: name.clone(), day, nodes: commands[side].clone(), logs: None };
-                let played = one(plan).await?;
-                both.push((side, played));
+                let mut experiment = experiments::find(name)?;
+                experiment.seed = seed;
+                let plan = Plan { name: name.clone(), experiment, nodes: commands[side].clone(), logs: None };
+                let outcome = run_with_progress(plan).await?;
+                both.push((side, outcome));
             }
             both.sort_by_key(|(side, _)| *side);
-            let figures: Vec<_> = both.iter().map(|(_, played)| &played.report).collect();
+            let figures: Vec<_> = both.iter().map(|(_, outcome)| &outcome.report).collect();
             if figures.iter().any(|report| report.lab.void.is_some()) {
                 println!("{name:<30} {seed:>4}  void");
                 void += 1;
@@ -333,27 +335,30 @@
     if let Some(of) = paired(&all).filter(|_| names.len() > 1) {
         println!("all: B - A {:+.3}, deviation {:.3}", of.mean, of.deviation);
     }
-    Ok(if void > 0 { ExitCode::from(VOID) } else { ExitCode::SUCCESS })
+    Ok(if void > 0 { ExitCode::from(EXIT_VOID) } else { ExitCode::SUCCESS })
 }
 
-/// Lateness at the 99th percentile up to which a rate counts as offered.
-const OFFERED_MS: f64 = 1.0;
-/// Rates that are tried, in requests a second.
+/// Maximum lateness at the 99th percentile, in milliseconds, at which a rate counts as offered.
+const MAX_LATENESS_MS: f64 = 1.0;
+/// Rates to measure, in requests per second.
 const RATES: [f64; 9] = [500.0, 1_000.0, 2_000.0, 3_000.0, 4_000.0, 6_000.0, 8_000.0, 12_000.0, 16_000.0];
 
-/// A day without trouble on which servers answer in parallel, at so many requests a second.
-fn plain(rate: f64, seconds: f64) -> Result<Experiment, String> {
-    let mut day = experiments::find("calm")?;
-    (day.nodes.count, day.nodes.sockets, day.nodes.memory_mb, day.seconds) = (1, 4_096, 192.0, seconds);
-    day.load.swing = 0.0;
-    for kind in &mut day.fleet.kinds {
+/// An experiment without faults at `rate` requests per second, whose servers have enough cores and slots to
+/// answer all requests in parallel.
+fn fault_free(rate: f64, seconds: f64) -> Result<Experiment, String> {
+    let mut experiment = experiments::find("calm")?;
+    (experiment.nodes.count, experiment.nodes.sockets, experiment.nodes.memory_mb, experiment.seconds) =
+        (1, 4_096, 192.0, seconds);
+    experiment.load.swing = 0.0;
+    for kind in &mut experiment.fleet.kinds {
         (kind.build.cores, kind.build.slots, kind.build.choke) = (256.0, 256, 0.0);
     }
-    day.load.of_capacity *= rate / day.per_second();
-    day.rules.served = 0.0;
-    Ok(day)
+    experiment.load.of_capacity *= rate / experiment.per_second();
+    experiment.rules.served = 0.0;
+    Ok(experiment)
 }
 
+/// Raises the rate until the lab runs late, and prints the highest rate that it could offer.
 async fn load(common: &Common) -> Result<ExitCode, String> {
     println!(
         "{:>8} {:>10} {:>10} {:>8} {:>10} {:>12}",
@@ -361,11 +366,12 @@
     );
     let mut best = None;
     for rate in RATES {
-        let mut day = plain(rate, 4.0)?;
-        day.seed = common.seed.unwrap_or(day.seed);
-        let nodes = command(common.node.as_deref())?;
-        let played = one(Plan { name: format!("{rate}/s"), day, nodes, logs: None }).await?;
-        let report = played.report;
+        let mut experiment = fault_free(rate, 4.0)?;
+        experiment.seed = common.seed.unwrap_or(experiment.seed);
+        let nodes = node_command(common.node.as_deref())?;
+        let outcome =
+            run_with_progress(Plan { name: format!("{rate}/s"), experiment, nodes, logs: None }).await?;
+        let report = outcome.report;
         let [_, p99, most] = report.lab.lateness_ms;
         let cpu = report.usage.first().map_or(0.0, |used| used.cpu_s) / 4.0;
         println!(
@@ -374,45 +380,49 @@
             100.0 * cpu,
             report.whole.latency_ms[2],
         );
-        if p99 > OFFERED_MS {
+        if p99 > MAX_LATENESS_MS {
             break;
         }
         best = Some(rate);
     }
     match best {
         Some(rate) => {
-            println!("offered with a lateness of at most {OFFERED_MS} ms at the 99th percentile: {rate}/s")
+            println!(
+                "offered with a lateness of at most {MAX_LATENESS_MS} ms at the 99th percentile: {rate}/s"
+            )
         }
         None => println!("not even the least rate was offered in time"),
     }
     Ok(ExitCode::SUCCESS)
 }
 
+/// Runs pairs of nodes with the same seeds and prints the ratio of their processor time per served request.
 async fn cost(
-    commands: [NodeCommand; 2], one_is: &str, other_is: &str, pairs: u64,
+    commands: [NodeCommand; 2], first_name: &str, second_name: &str, pairs: u64,
 ) -> Result<ExitCode, String> {
     let mut ratios = Vec::new();
     println!(
         "{:>4} {:>18} {:>18} {:>7}  memory, MB",
         "seed",
-        format!("{one_is}, us/req"),
-        format!("{other_is}, us/req"),
+        format!("{first_name}, us/req"),
+        format!("{second_name}, us/req"),
         "ratio"
     );
     for seed in 1..=pairs {
         let (mut figures, mut memory) = ([0.0; 2], [0.0; 2]);
-        let mut day = plain(1_500.0, 6.0)?;
-        day.seed = seed;
+        let mut experiment = fault_free(1_500.0, 6.0)?;
+        experiment.seed = seed;
         let plan = |side: usize| {
             let name = format!("pair {seed}");
-            Plan { name, day: day.clone(), nodes: commands[side].clone(), logs: None }
+            Plan { name, experiment: experiment.clone(), nodes: commands[side].clone(), logs: None }
         };
-        // Side by side: whatever else the machine does, and however fast it runs just then, both have the same of it.
+        // Both sides run at the same time, so that other load on the machine and its clock speed affect both alike.
         let (first, second) = if seed % 2 == 1 { (0, 1) } else { (1, 0) };
-        let (played, others) = tokio::join!(one(plan(first)), one(plan(second)));
-        for (side, played) in [(first, played?), (second, others?)] {
-            let served = played.report.whole.served.max(1) as f64;
-            let used = played.report.usage.first().cloned().unwrap_or_default();
+        let (outcome, second_outcome) =
+            tokio::join!(run_with_progress(plan(first)), run_with_progress(plan(second)));
+        for (side, outcome) in [(first, outcome?), (second, second_outcome?)] {
+            let served = outcome.report.whole.served.max(1) as f64;
+            let used = outcome.report.usage.first().cloned().unwrap_or_default();
             (figures[side], memory[side]) = (used.cpu_s * 1e6 / served, used.memory_mb);
         }
         let ratio = figures[0] / figures[1];
@@ -424,7 +434,7 @@
     }
     ratios.sort_by(f64::total_cmp);
     println!(
-        "processor time of a served request, {one_is} over {other_is}: median {:.3}, from {:.3} to {:.3}",
+        "processor time of a served request, {first_name} over {second_name}: median {:.3}, from {:.3} to {:.3}",
         ratios[ratios.len() / 2],
         ratios[0],
         ratios[ratios.len() - 1]
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,4 +1,4 @@
-//! What a platform tells a node, made from an experiment, and what discovery writes.
+//! Builds the node configuration and the discovery lists of an experiment, as a platform provides them.
 
 use merlinfold_simulation::discovery::{Listing, Status};
 use merlinfold_simulation::experiment::{Effect, Experiment};
@@ -9,19 +9,19 @@
 use crate::net::Range;
 use crate::time::Clock;
 
-/// Time that a connection may take to come up.
-const CONNECT_MS: f64 = 200.0;
+/// Timeout of a connection attempt in milliseconds.
+const CONNECT_TIMEOUT_MS: f64 = 200.0;
 
-/// Name of a server: the same at every node and telling nothing.
+/// Name of a server, the same for every node. It is a hash, so that a node cannot derive the server's number from it.
 pub fn server_name(server: usize) -> String {
     format!("s-{:08x}", mix(server as u64) as u32)
 }
 
-/// A list as a node reads it.
-pub fn list(day: &Experiment, listing: &Listing, node: usize, range: &Range, clock: &Clock) -> Value {
-    let kinds = day.kinds();
+/// Formats a discovery list for one node, with the addresses that the node is to use.
+pub fn list(experiment: &Experiment, listing: &Listing, node: usize, range: &Range, clock: &Clock) -> Value {
+    let kinds = experiment.kinds();
     let lines = listing.entries.iter().map(|entry| {
-        let kind = &day.fleet.kinds[kinds[entry.server]];
+        let kind = &experiment.fleet.kinds[kinds[entry.server]];
         let status = match entry.status {
             Status::InService => "in_service",
             Status::Terminating => "terminating",
@@ -29,7 +29,7 @@
         };
         json!({
             "name": server_name(entry.server), "address": range.server(node, entry.server),
-            "zone": day.fleet.zones[day.zone_of_server(entry.server)], "type": kind.name,
+            "zone": experiment.fleet.zones[experiment.zone_of_server(entry.server)], "type": kind.name,
             "group": entry.server / 4, "status": status, "weight": kind.build.cores * kind.build.speed,
             "since_ms": clock.unix_ms(entry.since),
         })
@@ -37,8 +37,8 @@
     json!({"index": listing.index, "snapshot": listing.snapshot, "endpoints": lines.collect::<Vec<_>>()})
 }
 
-/// The settings object.
-pub fn settings(day: &Experiment, node: usize) -> Value {
+/// Settings of the decision module for one node.
+pub fn settings(experiment: &Experiment, node: usize) -> Value {
     let nanos = millis;
     let class = |class: &merlinfold_simulation::experiment::Class| {
         json!({
@@ -48,43 +48,43 @@
         })
     };
     let tenant = |tenant: &merlinfold_simulation::experiment::Tenant| json!({"Name": tenant.name, "QuotaPerS": tenant.quota_per_s, "Fraction": tenant.share});
-    let builds = || day.fleet.kinds.iter().map(|kind| &kind.build);
-    let least =
+    let builds = || experiment.fleet.kinds.iter().map(|kind| &kind.build);
+    let min_build =
         |value: fn(&merlinfold_simulation::server::Spec) -> f64| builds().map(value).fold(f64::MAX, f64::min);
-    let most =
+    let max_build =
         |value: fn(&merlinfold_simulation::server::Spec) -> f64| builds().map(value).fold(0.0, f64::max);
     json!({
-        "Balancers": day.nodes.count, "Me": node,
-        "Categories": day.classes.iter().map(class).collect::<Vec<_>>(),
-        "Discovery": if day.nodes.ask { "ask" } else { "push" },
-        "HostTypes": day.fleet.kinds.iter().map(|kind| &kind.name).collect::<Vec<_>>(),
+        "Balancers": experiment.nodes.count, "Me": node,
+        "Categories": experiment.classes.iter().map(class).collect::<Vec<_>>(),
+        "Discovery": if experiment.nodes.ask { "ask" } else { "push" },
+        "HostTypes": experiment.fleet.kinds.iter().map(|kind| &kind.name).collect::<Vec<_>>(),
         "Limits": {
-            "Cancelling": true, "ConnIdle": (least(|b| b.idle_s) * SECOND as f64) as u64,
-            "ConnectTimeout": nanos(CONNECT_MS), "MaxAttempts": day.rules.attempts,
-            "MaxRetryAfter": nanos(day.rules.retry_after_ms), "MayDuplicate": false, "MayTell": false,
+            "Cancelling": true, "ConnIdle": (min_build(|b| b.idle_s) * SECOND as f64) as u64,
+            "ConnectTimeout": nanos(CONNECT_TIMEOUT_MS), "MaxAttempts": experiment.rules.attempts,
+            "MaxRetryAfter": nanos(experiment.rules.retry_after_ms), "MayDuplicate": false, "MayTell": false,
             "Probes": false, "RetryAfter": true,
         },
-        "Locality": day.fleet.zones[day.zone_of_node(node)],
+        "Locality": experiment.fleet.zones[experiment.zone_of_node(node)],
         "Obligations": {
-            "AskWithin": 10 * SECOND, "ColdShare": least(|b| b.cold_share),
-            "RampTime": (most(|b| b.ramp_s) * SECOND as f64) as u64,
-            "FallMultiple": least(|b| b.fall_multiple), "TipAfter": nanos(least(|b| b.fall_ms)),
-            "StopSendingWithin": nanos(day.rules.drain_ms), "GraceToAnswer": nanos(day.rules.grace_ms),
+            "AskWithin": 10 * SECOND, "ColdShare": min_build(|b| b.cold_share),
+            "RampTime": (max_build(|b| b.ramp_s) * SECOND as f64) as u64,
+            "FallMultiple": min_build(|b| b.fall_multiple), "TipAfter": nanos(min_build(|b| b.fall_ms)),
+            "StopSendingWithin": nanos(experiment.rules.drain_ms), "GraceToAnswer": nanos(experiment.rules.grace_ms),
         },
         "OverShareWorth": 0.2,
         "Prices": {"CrossZone": 0.01},
-        "Tenants": day.tenants.iter().map(tenant).collect::<Vec<_>>(),
+        "Tenants": experiment.tenants.iter().map(tenant).collect::<Vec<_>>(),
         "WeightSource": "nominal",
-        "Zones": day.fleet.zones,
+        "Zones": experiment.fleet.zones,
     })
 }
 
-/// The whole configuration of a node.
-pub fn configuration(day: &Experiment, node: usize, start: u64, known: Value, range: &Range) -> Value {
+/// Complete configuration of a node. The seed differs with each `start` of the node.
+pub fn configuration(experiment: &Experiment, node: usize, start: u64, known: Value, range: &Range) -> Value {
     json!({
         "name": format!("n{node}"), "listen": range.node(node), "discovery": range.discovery(node),
-        "seed": format!("{:016x}", mix(day.seed ^ mix(node as u64 * 1_000 + start))),
-        "limits": {"cores": 1.0, "memory_mb": day.nodes.memory_mb, "sockets": day.nodes.sockets},
-        "known": known, "settings": settings(day, node),
+        "seed": format!("{:016x}", mix(experiment.seed ^ mix(node as u64 * 1_000 + start))),
+        "limits": {"cores": 1.0, "memory_mb": experiment.nodes.memory_mb, "sockets": experiment.nodes.sockets},
+        "known": known, "settings": settings(experiment, node),
     })
 }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,4 +1,4 @@
-//! Node processes: started, signalled, watched and, whatever happens, ended.
+//! Node processes: start, signals, resource usage and exit. A process never outlives its handle.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -8,10 +8,10 @@
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::process::{Child, Command};
 
-/// Ticks a second in which the kernel counts processor time; 100 on every Linux that people run.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in which the kernel reports processor time; `USER_HZ` is 100 on all common Linux systems.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The command of a node.
+/// Command that starts a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeCommand {
     /// Program and arguments.
@@ -19,22 +19,23 @@
 }
 
 impl NodeCommand {
-    /// This very program as a node.
+    /// Uses this program's own `node` subcommand. Fails if the program's path is unknown.
     pub fn own() -> Result<Self, String> {
-        let own = std::env::current_exe().map_err(|error| format!("cannot name this program: {error}"))?;
+        let own = std::env::current_exe()
+            .map_err(|error| format!("cannot determine the path of this program: {error}"))?;
         Ok(NodeCommand { words: vec![own.display().to_string(), "node".to_owned()] })
     }
 
-    /// What a user wrote, split at blanks.
+    /// Splits a command line at white space. Fails if it is empty.
     pub fn of(text: &str) -> Result<Self, String> {
         let words: Vec<String> = text.split_whitespace().map(str::to_owned).collect();
         if words.is_empty() {
-            return Err("a node's command is empty".to_owned());
+            return Err("the command of a node is empty; expected a program and its arguments".to_owned());
         }
         Ok(NodeCommand { words })
     }
 
-    /// For reports: without its folder.
+    /// The command as shown in reports, with the program's file name instead of its path.
     pub fn name(&self) -> String {
         let program =
             Path::new(&self.words[0]).file_name().unwrap_or_default().to_string_lossy().into_owned();
@@ -42,94 +43,94 @@
     }
 }
 
-/// A running node. Killed when it is dropped.
+/// A node process. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     id: u32,
     log: PathBuf,
-    most: Usage,
+    peak: Usage,
 }
 
 impl Process {
-    /// Starts a node under a limit of descriptors; its log goes to `folder`.
+    /// Starts a node that may open `sockets` descriptors. Its configuration and its log are written to `folder`.
     pub fn start(
         command: &NodeCommand, node: usize, configuration: &str, sockets: usize, folder: &Path,
     ) -> Result<Self, String> {
-        let cannot = |what: &str, error: std::io::Error| format!("node {node}: {what}: {error}");
+        let describe = |what: &str, error: std::io::Error| format!("node {node}: {what}: {error}");
         let file = folder.join(format!("node-{node}.json"));
-        std::fs::write(&file, configuration).map_err(|error| cannot("configuration", error))?;
+        std::fs::write(&file, configuration).map_err(|error| describe("configuration", error))?;
         let log = folder.join(format!("node-{node}.log"));
         let mut options = std::fs::OpenOptions::new();
-        let written = options.create(true).append(true).open(&log).map_err(|error| cannot("log", error))?;
-        let also = written.try_clone().map_err(|error| cannot("log", error))?;
-        // The limit is set by a shell that becomes the node, so that the process's id is the node's.
+        let written = options.create(true).append(true).open(&log).map_err(|error| describe("log", error))?;
+        let stderr_log = written.try_clone().map_err(|error| describe("log", error))?;
+        // A shell sets the limit and replaces itself with the node, so that the process id is the node's.
         let child = Command::new("/bin/sh")
             .args(["-c", &format!("ulimit -n {sockets}; exec \"$0\" \"$@\"")])
             .args(&command.words)
-            .env_remove("TMPDIR") // nothing to share: names of nodes are the same in every play
+            .env_remove("TMPDIR") // nodes have the same names in every run and must not share files there
             .env("BALANCER_CONFIG", &file)
             .env("BALANCER_NAME", format!("n{node}"))
             .stdin(Stdio::null())
             .stdout(written)
-            .stderr(also)
-            .process_group(0) // Ctrl-C is the lab's to pass on
+            .stderr(stderr_log)
+            .process_group(0) // Ctrl-C reaches the lab only, which ends its nodes itself
             .kill_on_drop(true)
             .spawn()
-            .map_err(|error| cannot(&command.words[0], error))?;
-        let id = child.id().ok_or_else(|| format!("node {node}: ended at once"))?;
-        Ok(Process { child, id, log, most: Usage::default() })
+            .map_err(|error| describe(&command.words[0], error))?;
+        let id = child.id().ok_or_else(|| format!("node {node}: exited immediately after its start"))?;
+        Ok(Process { child, id, log, peak: Usage::default() })
     }
 
-    /// Its number.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.id
     }
 
-    /// Sends SIGTERM, or SIGKILL.
+    /// Sends SIGKILL if `kill` is set, else SIGTERM.
     pub fn signal(&self, kill: bool) {
         self.send(if kill { Signal::KILL } else { Signal::TERM });
     }
 
-    /// Sends any signal.
+    /// Sends a signal; a process that has already exited is ignored.
     pub fn send(&self, signal: Signal) {
         send(self.id, signal);
     }
 
-    /// Lets it go on after SIGSTOP, also once somebody else holds it.
+    /// Returns a function that sends SIGCONT. It does not borrow the process, so that the handle can move meanwhile.
     pub fn resumer(&self) -> impl FnOnce() + Send + 'static {
         let id = self.id;
         move || send(id, Signal::CONT)
     }
 
-    /// Lets its files grow to so many bytes; none: without limit.
-    pub fn limit_files(&self, most: Option<u64>) -> std::io::Result<()> {
+    /// Limits the size of files that the process writes, in bytes; `None` removes the limit.
+    pub fn limit_files(&self, limit: Option<u64>) -> std::io::Result<()> {
         let id = i32::try_from(self.id).ok().and_then(Pid::from_raw);
-        let limit = rustix::process::Rlimit { current: most, maximum: None };
+        let limit = rustix::process::Rlimit { current: limit, maximum: None };
         Ok(rustix::process::prlimit(id, rustix::process::Resource::Fsize, limit).map(drop)?)
     }
 
-    /// How it ended, if it has.
+    /// Exit status as text, or `None` while the process runs.
     pub fn ended(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// Waits for its end; none if that takes too long.
-    pub async fn wait(&mut self, most: Duration) -> Option<std::process::ExitStatus> {
-        tokio::time::timeout(most, self.child.wait()).await.ok().and_then(Result::ok)
+    /// Waits for the exit; returns `None` after the time `limit`.
+    pub async fn wait(&mut self, limit: Duration) -> Option<std::process::ExitStatus> {
+        tokio::time::timeout(limit, self.child.wait()).await.ok().and_then(Result::ok)
     }
 
-    /// Looks at what it uses; the most of all looks is kept.
+    /// Samples the resource usage and returns the maximum of all samples.
     pub fn look(&mut self) -> &Usage {
         if let Some(now) = usage(self.id) {
-            self.most.memory_mb = self.most.memory_mb.max(now.memory_mb);
-            self.most.descriptors = self.most.descriptors.max(now.descriptors);
-            self.most.cpu_s = self.most.cpu_s.max(now.cpu_s);
+            self.peak.memory_mb = self.peak.memory_mb.max(now.memory_mb);
+            self.peak.descriptors = self.peak.descriptors.max(now.descriptors);
+            self.peak.cpu_s = self.peak.cpu_s.max(now.cpu_s);
         }
-        &self.most
+        &self.peak
     }
 
-    /// The last lines of its log.
+    /// The last five lines of the log.
     pub fn tail(&self) -> String {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().rev().take(5).collect();
@@ -139,18 +140,20 @@
 
 fn send(id: u32, signal: Signal) {
     if let Some(id) = i32::try_from(id).ok().and_then(Pid::from_raw) {
-        let _ = kill_process(id, signal); // it may have ended by itself meanwhile
+        let _ = kill_process(id, signal); // the process may have exited meanwhile
     }
 }
 
+/// Peak memory, open descriptors and processor time of a process, from /proc.
 fn usage(id: u32) -> Option<Usage> {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
     let kib: f64 = line.trim().strip_suffix("kB")?.trim().parse().ok()?;
     let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count() as u64;
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-    // The name before may hold anything; fields 14 and 15 (proc(5)) are the 12th and 13th after it.
+    // The name in parentheses may contain any character, so that fields are counted after it: 14 and 15 of proc(5)
+    // (utime and stime) are the 12th and 13th there.
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
     let ticks = |n: usize| fields.get(n).and_then(|field| field.parse::<f64>().ok());
-    Some(Usage { memory_mb: kib / 1_024.0, descriptors, cpu_s: (ticks(11)? + ticks(12)?) / TICKS })
+    Some(Usage { memory_mb: kib / 1_024.0, descriptors, cpu_s: (ticks(11)? + ticks(12)?) / TICKS_PER_SECOND })
 }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/runner.rs
@@ -1,4 +1,5 @@
-//! Plays one experiment: starts everything, carries out what concerns nodes, ends everything, judges.
+//! Runs one experiment: starts nodes, servers and clients, applies the changes that concern nodes, stops everything
+//! and checks the records against the invariants.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -22,46 +23,46 @@
 use crate::servers::Servers;
 use crate::time::Clock;
 
-/// Time in which a node has to become ready.
-const START: Duration = Duration::from_secs(5);
-/// Time beyond the longest deadline until a node that was told to end is killed.
-const STOP: Nanos = 700_000_000;
-/// What counts of the longest deadline then.
-const LONGEST_COUNTED: Nanos = 3 * SECOND;
-/// Time for which a node is held up.
+/// Time within which a node has to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time beyond the longest deadline after which a node that was sent SIGTERM is killed.
+const STOP_GRACE: Nanos = 700_000_000;
+/// Upper bound of the longest deadline in that rule during the run.
+const MAX_DEADLINE_AT_STOP: Nanos = 3 * SECOND;
+/// Time for which a node is paused with SIGSTOP.
 const PAUSE: Duration = Duration::from_millis(150);
-/// Time between looks at what nodes use.
-const LOOK: Duration = Duration::from_millis(250);
-/// Time after the last try in which servers may still come to an end.
-const SETTLE: Duration = Duration::from_millis(300);
-/// Silent peers that may be out at once.
-const PEERS_MOST: usize = 20_000;
+/// Interval at which the resource usage of the nodes is sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after the last try for servers to finish their work.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// Maximum silent peers that are connected at once.
+const MAX_PEERS: usize = 20_000;
 
-/// What to play.
+/// An experiment and the nodes to run it against.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Name of the experiment.
     pub name: String,
-    /// It.
-    pub day: Experiment,
-    /// What a node is started with.
+    /// The experiment.
+    pub experiment: Experiment,
+    /// Command that starts a node.
     pub nodes: NodeCommand,
-    /// Where configurations and logs of nodes are kept; else they are gone with the run.
+    /// Folder in which the nodes' configurations and logs are kept; without it they are deleted after the run.
     pub logs: Option<PathBuf>,
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Clone, Debug)]
-pub struct Played {
-    /// The figures.
+pub struct RunOutcome {
+    /// Measured figures.
     pub report: Report,
-    /// Laws broken.
+    /// Violations of the invariants.
     pub breaches: Vec<Breach>,
-    /// The last lines of the logs of nodes that failed.
+    /// Last lines of the logs of nodes that failed.
     pub tails: Vec<String>,
 }
 
-/// A folder that is gone when the run is, unless it is to be kept.
+/// Folder of a run's files, which is deleted when this is dropped unless it is to be kept.
 pub(crate) struct Folder {
     pub(crate) path: PathBuf,
     keep: bool,
@@ -71,11 +72,11 @@
     pub(crate) fn new(keep: Option<&PathBuf>) -> Result<Self, String> {
         use std::sync::atomic::{AtomicU32, Ordering};
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let own = || {
+        let temporary = || {
             let number = NEXT.fetch_add(1, Ordering::Relaxed);
             std::env::temp_dir().join(format!("merlinfold-lab-{}-{number}", std::process::id()))
         };
-        let path = keep.cloned().unwrap_or_else(own);
+        let path = keep.cloned().unwrap_or_else(temporary);
         std::fs::create_dir_all(&path).map_err(|error| format!("{}: {error}", path.display()))?;
         Ok(Folder { path, keep: keep.is_some() })
     }
@@ -89,7 +90,8 @@
     }
 }
 
-struct Conductor {
+/// State of a run.
+struct Runner {
     plan: Plan,
     clock: Clock,
     range: Arc<Range>,
@@ -104,22 +106,23 @@
     tails: Vec<String>,
     rolls: JoinSet<(usize, Process, Option<std::process::ExitStatus>)>,
     peers: JoinSet<()>,
-    peers_a_second: f64,
+    peers_per_second: f64,
     peers_due: f64,
 }
 
-/// Plays it. `progress` is told how much of the day has passed. Dropping the future ends all that was started.
-pub async fn play(plan: Plan, progress: impl Fn(Duration)) -> Result<Played, String> {
-    plan.day.check().map_err(|fault| format!("{}: {fault}", plan.name))?;
-    let seed = Seed(plan.day.seed);
+/// Runs an experiment. `progress` is called with the time since the start. Dropping the future ends everything that was
+/// started. Fails if the experiment is invalid, a process cannot be started or the clients do not finish.
+pub async fn run(plan: Plan, progress: impl Fn(Duration)) -> Result<RunOutcome, String> {
+    plan.experiment.check().map_err(|error| format!("{}: {error}", plan.name))?;
+    let seed = Seed(plan.experiment.seed);
     let clock = Clock::default();
     let range = Arc::new(Range::claim()?);
     let (changes, mut changed) = mpsc::unbounded_channel();
-    let (servers, _stop) = Servers::start(&plan.day, seed, &clock, &range, &range, changes)?;
-    let (load, wake, mut done) = Load::start(&plan.day, seed, &clock, &range);
+    let (servers, _stop) = Servers::start(&plan.experiment, seed, &clock, &range, &range, changes)?;
+    let (load, wake, mut done) = Load::start(&plan.experiment, seed, &clock, &range);
     let folder = Folder::new(plan.logs.as_ref())?;
-    let count = plan.day.nodes.count;
-    let mut conductor = Conductor {
+    let count = plan.experiment.nodes.count;
+    let mut runner = Runner {
         clock: clock.clone(),
         range,
         servers,
@@ -133,65 +136,67 @@
         tails: Vec::new(),
         rolls: JoinSet::new(),
         peers: JoinSet::new(),
-        peers_a_second: 0.0,
+        peers_per_second: 0.0,
         peers_due: 0.0,
         plan,
     };
     let mut started = true;
     for node in 0..count {
-        conductor.spawn(node)?;
+        runner.spawn(node)?;
     }
     for node in 0..count {
-        started = started && conductor.await_ready(node).await;
+        started = started && runner.await_ready(node).await;
     }
     if started {
         clock.start();
-        conductor.servers.tick();
+        runner.servers.tick();
         wake.notify_one();
-        let most = Duration::from_nanos(conductor.plan.day.length() + 4 * conductor.plan.day.longest());
-        let mut look = interval(LOOK);
-        let end = tokio::time::sleep(most + Duration::from_secs(10));
+        let limit =
+            Duration::from_nanos(runner.plan.experiment.length() + 4 * runner.plan.experiment.longest());
+        let mut look = interval(SAMPLE_INTERVAL);
+        let end = tokio::time::sleep(limit + Duration::from_secs(10));
         tokio::pin!(end);
         loop {
             tokio::select! {
-                Some((at, change)) = changed.recv() => conductor.change(at, change)?,
-                Some(Ok((node, process, status))) = conductor.rolls.join_next() => {
-                    conductor.rolled(node, process, status).await?;
+                Some((at, change)) = changed.recv() => runner.apply_change(at, change)?,
+                Some(Ok((node, process, status))) = runner.rolls.join_next() => {
+                    runner.restart_after_exit(node, process, status).await?;
                 }
                 _ = look.tick() => {
                     progress(Duration::from_nanos(clock.now()));
-                    conductor.look();
+                    runner.sample_usage();
                 }
                 _ = &mut done => break,
                 () = &mut end => {
-                    return Err("the clients did not come to an end: a fault of the lab".to_owned());
+                    return Err("the clients did not finish in time; this is an error in the lab".to_owned());
                 }
             }
         }
-        sleep(SETTLE).await;
+        sleep(SETTLE_TIME).await;
     }
-    conductor.finish().await
+    runner.finish().await
 }
 
-impl Conductor {
+impl Runner {
     fn spawn(&mut self, node: usize) -> Result<(), String> {
         self.starts += 1;
         let known = self.servers.known(node);
-        let day = &self.plan.day;
-        let text = platform::configuration(day, node, self.starts, known, &self.range).to_string();
-        let process = Process::start(&self.plan.nodes, node, &text, day.nodes.sockets, &self.folder.path)?;
+        let experiment = &self.plan.experiment;
+        let text = platform::configuration(experiment, node, self.starts, known, &self.range).to_string();
+        let process =
+            Process::start(&self.plan.nodes, node, &text, experiment.nodes.sockets, &self.folder.path)?;
         self.nodes[node] = Some(process);
         Ok(())
     }
 
     async fn await_ready(&mut self, node: usize) -> bool {
-        let asked = ready(self.range.node(node), START);
+        let asked = ready(self.range.node(node), START_TIMEOUT);
         tokio::pin!(asked);
         let mut look = interval(Duration::from_millis(20));
         let is_ready = loop {
             tokio::select! {
                 ready = &mut asked => break ready,
-                // One that has ended by itself need not be waited for.
+                // A node that has exited will not become ready.
                 _ = look.tick() => {
                     if self.nodes[node].as_mut().and_then(Process::ended).is_some() {
                         break false;
@@ -208,45 +213,47 @@
             Some(how) => Life::Crashed(how),
             None => Life::NeverReady,
         };
-        self.fault(now, node, life);
+        self.record_failure(now, node, life);
         false
     }
 
-    fn fault(&mut self, at: Nanos, node: usize, life: Life) {
+    fn record_failure(&mut self, at: Nanos, node: usize, life: Life) {
         if let Some(process) = &self.nodes[node] {
             self.tails.push(format!("node {node}:\n{}", process.tail()));
         }
         self.lives.push((at, node, life));
     }
 
-    /// The front notices late that a node has gone.
-    fn gone(&self, node: usize, at: Nanos) {
-        self.load.node(node, Some(at + millis(self.plan.day.nodes.notice_ms)));
+    /// Tells the front that a node has ended; the front notices with a delay.
+    fn announce_end(&self, node: usize, at: Nanos) {
+        self.load.node(node, Some(at + millis(self.plan.experiment.nodes.notice_ms)));
     }
 
-    fn change(&mut self, at: Nanos, change: Change) -> Result<(), String> {
+    fn apply_change(&mut self, at: Nanos, change: Change) -> Result<(), String> {
         match change {
             Change::Mark(what) => self.marks.push((at, what)),
             Change::NodeKill(node) => {
                 if let Some(process) = self.nodes[node].take() {
                     process.signal(true);
-                    let killed = self.clock.now(); // what it was sent until now it may have taken
+                    let killed = self.clock.now(); // the node may have accepted requests that were sent before this time
                     self.lives.push((killed, node, Life::Stopped { killed: true }));
-                    self.gone(node, killed);
+                    self.announce_end(node, killed);
                 }
             }
             Change::NodeStart(node) => {
                 self.spawn(node)?;
-                self.when_ready(node);
+                self.announce_when_ready(node);
             }
             Change::NodeRoll(node) => {
                 if let Some(mut process) = self.nodes[node].take() {
                     process.look();
                     process.signal(false);
                     self.lives.push((at, node, Life::Stopped { killed: false }));
-                    let most = Duration::from_nanos(self.plan.day.longest().min(LONGEST_COUNTED) + STOP);
+                    let limit = Duration::from_nanos(
+                        self.plan.experiment.longest().min(MAX_DEADLINE_AT_STOP) + STOP_GRACE,
+                    );
                     self.rolls.spawn(async move {
-                        let status = process.wait(most).await;
+                        let status = process.wait(limit).await;
                         (node, process, status)
                     });
                 }
@@ -261,27 +268,27 @@
                     });
                 }
             }
-            Change::SilentPeers(rate) => self.peers_a_second = rate,
+            Change::SilentPeers(rate) => self.peers_per_second = rate,
             _ => {}
         }
         Ok(())
     }
 
-    /// Tells the front once a node that was started during the day is ready.
-    fn when_ready(&mut self, node: usize) {
+    /// Tells the front when a node that was started during the run is ready.
+    fn announce_when_ready(&mut self, node: usize) {
         let (at, load) = (self.range.node(node), self.load.clone());
         self.peers.spawn(async move {
-            if ready(at, START).await {
+            if ready(at, START_TIMEOUT).await {
                 load.node(node, None);
             }
         });
     }
 
-    async fn rolled(
+    async fn restart_after_exit(
         &mut self, node: usize, process: Process, status: Option<std::process::ExitStatus>,
     ) -> Result<(), String> {
         let now = self.clock.now();
-        self.gone(node, now);
+        self.announce_end(node, now);
         match status {
             None => {
                 process.signal(true);
@@ -296,43 +303,43 @@
         }
         drop(process);
         self.spawn(node)?;
-        self.when_ready(node);
+        self.announce_when_ready(node);
         Ok(())
     }
 
-    fn look(&mut self) {
+    fn sample_usage(&mut self) {
         let now = self.clock.now();
-        let limit = &self.plan.day.nodes;
-        let mut faults = Vec::new();
-        for (node, place) in self.nodes.iter_mut().enumerate() {
-            let Some(process) = place else { continue };
+        let limits = &self.plan.experiment.nodes;
+        let mut failures = Vec::new();
+        for (node, slot) in self.nodes.iter_mut().enumerate() {
+            let Some(process) = slot else { continue };
             if let Some(how) = process.ended() {
-                faults.push((node, Life::Crashed(how)));
+                failures.push((node, Life::Crashed(how)));
                 continue;
             }
             let used = process.look();
-            let most = &mut self.used[node];
-            most.memory_mb = most.memory_mb.max(used.memory_mb);
-            most.descriptors = most.descriptors.max(used.descriptors);
-            most.cpu_s = most.cpu_s.max(used.cpu_s);
-            if used.memory_mb > limit.memory_mb {
-                let what = format!("{:.1} MB of {} MB of memory", used.memory_mb, limit.memory_mb);
-                faults.push((node, Life::Exceeded(what)));
-            } else if used.descriptors >= limit.sockets as u64 {
-                let what = format!("all of its {} descriptors are in use", limit.sockets);
-                faults.push((node, Life::Exceeded(what)));
+            let peak = &mut self.used[node];
+            peak.memory_mb = peak.memory_mb.max(used.memory_mb);
+            peak.descriptors = peak.descriptors.max(used.descriptors);
+            peak.cpu_s = peak.cpu_s.max(used.cpu_s);
+            if used.memory_mb > limits.memory_mb {
+                let what = format!("{:.1} MB of {} MB of memory", used.memory_mb, limits.memory_mb);
+                failures.push((node, Life::Exceeded(what)));
+            } else if used.descriptors >= limits.sockets as u64 {
+                let what = format!("all of its {} descriptors are in use", limits.sockets);
+                failures.push((node, Life::Exceeded(what)));
             }
         }
-        for (node, life) in faults {
-            self.fault(now, node, life);
+        for (node, life) in failures {
+            self.record_failure(now, node, life);
             if let Some(process) = self.nodes[node].take() {
-                process.signal(true); // over its limit a platform would kill it
+                process.signal(true); // a platform would kill a node that exceeds its limit
             }
-            self.gone(node, now);
+            self.announce_end(node, now);
         }
         while self.peers.try_join_next().is_some() {}
-        self.peers_due += self.peers_a_second * LOOK.as_secs_f64();
-        while self.peers_due >= 1.0 && self.peers.len() < PEERS_MOST {
+        self.peers_due += self.peers_per_second * SAMPLE_INTERVAL.as_secs_f64();
+        while self.peers_due >= 1.0 && self.peers.len() < MAX_PEERS {
             self.peers_due -= 1.0;
             for node in 0..self.nodes.len() {
                 self.peers.spawn(self.load.clone().silent_peer(node));
@@ -340,43 +347,43 @@
         }
     }
 
-    async fn finish(mut self) -> Result<Played, String> {
-        self.look();
-        // Peers that are still out are owed their close yet.
-        let day = self.plan.day.clone();
-        let peers = Duration::from_nanos(2 * millis(day.rules.bad_peer_ms));
+    async fn finish(mut self) -> Result<RunOutcome, String> {
+        self.sample_usage();
+        // Silent peers that are still connected have yet to be closed by their node.
+        let experiment = self.plan.experiment.clone();
+        let peers = Duration::from_nanos(2 * millis(experiment.rules.bad_peer_ms));
         let _ = timeout(peers, async { while self.peers.join_next().await.is_some() {} }).await;
         let now = self.clock.now();
-        let most = Duration::from_nanos(day.longest().max(3 * SECOND) + STOP);
+        let limit = Duration::from_nanos(experiment.longest().max(3 * SECOND) + STOP_GRACE);
         self.nodes.iter().flatten().for_each(|process| process.signal(false));
         for node in 0..self.nodes.len() {
             let Some(mut process) = self.nodes[node].take() else { continue };
-            let life = match process.wait(most).await {
+            let life = match process.wait(limit).await {
                 None => Some(Life::Overstayed),
                 Some(status) if !status.success() => Some(Life::Crashed(format!("after SIGTERM: {status}"))),
                 Some(_) => None,
             };
             self.lives.extend(life.map(|life| (now, node, life)));
         }
-        let (of_servers, of_clients) = (self.servers.seen(), self.load.seen());
+        let (server_records, client_records) = (self.servers.seen(), self.load.seen());
         let ledger = Ledger {
-            wishes: of_clients.wishes,
-            tries: of_clients.tries,
-            runs: of_servers.runs,
-            told: of_servers.told,
-            peers: of_clients.peers,
+            wishes: client_records.wishes,
+            tries: client_records.tries,
+            runs: server_records.runs,
+            told: server_records.told,
+            peers: client_records.peers,
             nodes: self.lives,
-            falls: of_servers.falls,
+            falls: server_records.falls,
             marks: self.marks,
         };
-        let mut late = of_clients.late;
-        late.add(of_servers.late).map_err(|error| format!("lateness: {error}"))?;
-        let mut report = report(&day, &ledger);
-        let breaches = report.judge(&day, &ledger);
+        let mut late = client_records.late;
+        late.add(server_records.late).map_err(|error| format!("lateness: {error}"))?;
+        let mut report = report(&experiment, &ledger);
+        let breaches = report.judge(&experiment, &ledger);
         report.experiment = self.plan.name;
         report.nodes = self.plan.nodes.name();
-        report.lab = lab(&late, day.rules.lateness_ms);
+        report.lab = lab(&late, experiment.rules.lateness_ms);
         report.usage = self.used;
-        Ok(Played { report, breaches, tails: self.tails })
+        Ok(RunOutcome { report, breaches, tails: self.tails })
     }
 }
--- a/crates/lab/src/scale/proof.rs
+++ b/crates/lab/src/scale/proof.rs
@@ -15,8 +15,8 @@
 use crate::experiments;
 use crate::net::Range;
 use crate::platform::configuration;
-use crate::play::Folder;
 use crate::process::{NodeCommand, Process};
+use crate::runner::Folder;
 use crate::trial::processes::members;
 
 const WARM_UP: Duration = Duration::from_secs(12);
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -1,7 +1,7 @@
-//! Guide servers and discovery on sockets, in a thread of their own.
+//! Guide servers and discovery on sockets, served by a dedicated thread.
 //!
-//! Each pair of node and server has an address of its own, so a connection's address tells who asks. What
-//! the models say is carried out here; every request that arrives whole is written down.
+//! Each pair of node and server has its own address, so that the address of a connection identifies the node. This
+//! module applies the effects of the models to sockets and records every request that arrives completely.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -37,44 +37,46 @@
 mod lists;
 
 const BACKLOG: u32 = 1_024;
-/// Work of a request that states none, which only a stranger's does.
-const UNSTATED: Nanos = MS;
+/// Work of a request without a `work` parameter; the lab's clients always send one.
+const DEFAULT_WORK: Nanos = MS;
 
-/// What discovery shows counts as told after this, whether a node listened or not.
-const TOLD_LATEST: Nanos = 6_000 * MS;
+/// A change that discovery shows counts as announced to every node after this time, whether a node polled or not.
+const ANNOUNCED_AFTER: Nanos = 6_000 * MS;
 
-/// What a connection to a server may do at present.
+/// State of a server's connections. A counter beside it goes up with each change; a connection that was opened under
+/// another number is no longer known to the server's model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Gate {
     Open,
+    /// Connections stay open, and nothing is read or written.
     Silent,
-    /// Counts up with each reset: whoever has seen another number is cut off.
+    /// Connections are reset.
     Closed,
 }
 
-/// What a guide server makes of a request: proof that it saw this very id.
+/// Body of a guide server's response, which proves that a server saw the request with this id.
 pub fn body(id: u64) -> String {
     format!("{id:016x} {:016x}", mix(id ^ 0x5EED_0F6D_1DE5))
 }
 
-/// All that the threads of a run share of the servers.
-pub struct Hub {
-    day: Experiment,
+/// State of the servers and of discovery that the threads of a run share.
+pub struct SharedState {
+    experiment: Experiment,
     fleet: Fleet,
     clock: Clock,
     range: Arc<Range>,
-    shown: Arc<Range>, // the addresses in lists: those of relays, where there are any
+    shown: Arc<Range>, // the addresses in lists: those of the relays, if there are relays
     gates: Vec<watch::Sender<(Gate, u64)>>,
-    listeners: Vec<Vec<AbortHandle>>, // of each server, one for each node
-    waiting: HashMap<u64, (usize, oneshot::Sender<Done>)>, // by attempt: its line in `runs`
+    listeners: Vec<Vec<AbortHandle>>, // by server, one for each node
+    waiting: HashMap<u64, (usize, oneshot::Sender<Done>)>, // by attempt, with its index in `runs`
     calls: HashMap<u64, oneshot::Sender<Option<Listing>>>,
-    known_since: BTreeMap<(usize, usize), Nanos>, // by node and server: the last start that it was told of
+    known_since: BTreeMap<(usize, usize), Nanos>, // by node and server: the latest start time that the node was told
     runs: Vec<Run>,
     told: Vec<Told>,
     list_faults: ListFaults,
     seed: Seed,
-    restarts: usize, // of discovery, which counts its versions anew after each
-    written: HashMap<usize, (usize, u64)>, // by node: restarts before the newest list written to it, and its version
+    restarts: usize, // of discovery, which restarts its version numbers each time
+    written: HashMap<usize, (usize, u64)>, // by node: number of restarts and version of the newest list that was written to it
     next: u64,
     effects: Vec<Effect>,
     changes: mpsc::UnboundedSender<(Nanos, Change)>,
@@ -83,34 +85,35 @@
     late: Histogram<u64>,
 }
 
-/// A handle on the servers.
+/// Handle of the servers and of discovery.
 #[derive(Clone)]
-pub struct Servers(Arc<Mutex<Hub>>);
+pub struct Servers(Arc<Mutex<SharedState>>);
 
-/// What the servers saw.
+/// Records of the servers' side.
 pub struct Seen {
-    /// Attempts.
+    /// Attempts that arrived.
     pub runs: Vec<Run>,
-    /// What nodes were told.
+    /// List entries that were announced to nodes.
     pub told: Vec<Told>,
-    /// Servers that fell over.
+    /// Servers that collapsed, with the record of the collapse.
     pub falls: Vec<(usize, merlinfold_simulation::server::Fall)>,
     /// Lateness of the thread's timer, in microseconds.
     pub late: Histogram<u64>,
 }
 
 impl Servers {
-    /// Opens all sockets in a thread of their own, and shows lists with the addresses in `shown`; what concerns others goes to `changes`.
+    /// Opens all sockets in a dedicated thread. Lists carry the addresses of `shown`. Changes that do not concern
+    /// the servers, such as the kill of a node, are sent to `changes`. Fails if an address cannot be opened.
     pub fn start(
-        day: &Experiment, seed: Seed, clock: &Clock, range: &Arc<Range>, shown: &Arc<Range>,
+        experiment: &Experiment, seed: Seed, clock: &Clock, range: &Arc<Range>, shown: &Arc<Range>,
         changes: mpsc::UnboundedSender<(Nanos, Change)>,
     ) -> Result<(Self, oneshot::Sender<()>), String> {
         let wake = Arc::new(Notify::new());
         let (reopen, reopened) = mpsc::unbounded_channel();
-        let count = day.servers();
-        let hub = Hub {
-            day: day.clone(),
-            fleet: Fleet::new(day, seed),
+        let count = experiment.servers();
+        let state = SharedState {
+            experiment: experiment.clone(),
+            fleet: Fleet::new(experiment, seed),
             clock: clock.clone(),
             range: range.clone(),
             shown: shown.clone(),
@@ -132,22 +135,22 @@
             timer: Timer::new(clock.clone(), wake.clone()),
             late: histogram(),
         };
-        let servers = Servers(Arc::new(Mutex::new(hub)));
+        let servers = Servers(Arc::new(Mutex::new(state)));
         let (stop, stopped) = oneshot::channel::<()>();
         let (ready, is_ready) = std::sync::mpsc::channel();
-        let of_thread = servers.clone();
+        let thread_servers = servers.clone();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             match runtime {
                 Err(error) => drop(ready.send(Err(format!("runtime: {error}")))),
-                Ok(runtime) => runtime.block_on(of_thread.run(ready, reopened, wake, stopped)),
+                Ok(runtime) => runtime.block_on(thread_servers.run(ready, reopened, wake, stopped)),
             }
         });
-        is_ready.recv().map_err(|_| "the servers' thread has ended".to_owned())??;
+        is_ready.recv().map_err(|_| "the server thread ended before its sockets were open".to_owned())??;
         Ok((servers, stop))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Hub> {
+    fn lock(&self) -> MutexGuard<'_, SharedState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -156,8 +159,8 @@
         mut reopened: mpsc::UnboundedReceiver<usize>, wake: Arc<Notify>, mut stopped: oneshot::Receiver<()>,
     ) {
         let (servers, nodes) = {
-            let hub = self.lock();
-            (hub.day.servers(), hub.day.nodes.count)
+            let state = self.lock();
+            (state.experiment.servers(), state.experiment.nodes.count)
         };
         let mut tasks = JoinSet::new();
         let opened = (0..servers).try_for_each(|server| self.listen(server)).and_then(|()| {
@@ -168,9 +171,9 @@
                 Ok(())
             })
         });
-        let fine = opened.is_ok();
+        let all_open = opened.is_ok();
         let _ = ready.send(opened);
-        if !fine {
+        if !all_open {
             return;
         }
         loop {
@@ -178,7 +181,7 @@
                 () = wake.notified() => self.tick(),
                 Some(server) = reopened.recv() => {
                     if let Err(fault) = self.listen(server) {
-                        tracing::warn!(fault, "a server's address could not be opened again");
+                        tracing::warn!(fault, "reopening a server's address failed");
                     }
                 }
                 _ = &mut stopped => return,
@@ -186,48 +189,48 @@
         }
     }
 
-    /// Lets the models take note of the time.
+    /// Advances the models to the present time; does nothing before the clock is started.
     pub fn tick(&self) {
-        let mut hub = self.lock();
-        if !hub.clock.started() {
+        let mut state = self.lock();
+        if !state.clock.started() {
             return;
         }
-        let now = hub.clock.now();
-        if let Some(due) = hub.fleet.next_due().filter(|&due| due <= now) {
-            hub.late.saturating_record(micros(now - due));
+        let now = state.clock.now();
+        if let Some(due) = state.fleet.next_due().filter(|&due| due <= now) {
+            state.late.saturating_record(micros(now - due));
         }
-        hub.act(|fleet, effects| fleet.advance(now, effects));
+        state.act(|fleet, effects| fleet.advance(now, effects));
     }
 
-    /// The list for a node that starts now, which thereby knows it.
+    /// Returns the list for a node that starts now and records that the node knows it.
     pub fn known(&self, node: usize) -> Value {
-        let mut hub = self.lock();
-        let listing = hub.fleet.list();
-        hub.known_since.retain(|&(of, _), _| of != node);
-        let restarts = hub.restarts;
-        hub.note(node, restarts, &listing);
-        platform::list(&hub.day, &listing, node, &hub.shown, &hub.clock)
+        let mut state = self.lock();
+        let listing = state.fleet.list();
+        state.known_since.retain(|&(of, _), _| of != node);
+        let restarts = state.restarts;
+        state.note(node, restarts, &listing);
+        platform::list(&state.experiment, &listing, node, &state.shown, &state.clock)
     }
 
-    /// What has been seen so far.
+    /// Takes the records made so far.
     pub fn seen(&self) -> Seen {
-        let mut hub = self.lock();
-        let falls = hub.fleet.servers().iter().enumerate().filter_map(|(n, s)| s.fallen().map(|f| (n, f)));
+        let mut state = self.lock();
+        let falls = state.fleet.servers().iter().enumerate().filter_map(|(n, s)| s.fallen().map(|f| (n, f)));
         let falls = falls.collect();
-        let mut told = std::mem::take(&mut hub.told);
+        let mut told = std::mem::take(&mut state.told);
         told_by_default(
             &mut told,
-            hub.fleet.shown(),
-            hub.day.nodes.count,
-            TOLD_LATEST,
-            &outages(&hub.day, hub.seed),
+            state.fleet.shown(),
+            state.experiment.nodes.count,
+            ANNOUNCED_AFTER,
+            &outages(&state.experiment, state.seed),
         );
-        Seen { runs: std::mem::take(&mut hub.runs), told, falls, late: hub.late.clone() }
+        Seen { runs: std::mem::take(&mut state.runs), told, falls, late: state.late.clone() }
     }
 
-    /// Opens a server's address at every node.
+    /// Opens a server's addresses, one for each node.
     fn listen(&self, server: usize) -> Result<(), String> {
-        let nodes = self.lock().day.nodes.count;
+        let nodes = self.lock().experiment.nodes.count;
         for node in 0..nodes {
             let at = self.lock().range.server(node, server);
             let task = tokio::spawn(self.clone().accept(node, server, bind(at)?));
@@ -247,28 +250,28 @@
     open().map_err(|error| format!("cannot listen on {at}: {error}"))
 }
 
-impl Hub {
-    /// Lets the models act, carries out what they say, and sets the timer.
+impl SharedState {
+    /// Calls the models, applies their effects and sets the timer.
     fn act(&mut self, act: impl FnOnce(&mut Fleet, &mut Vec<Effect>)) {
         let mut effects = std::mem::take(&mut self.effects);
         act(&mut self.fleet, &mut effects);
         for effect in effects.drain(..) {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
         self.effects = effects;
         self.timer.set(self.fleet.next_due());
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         let now = self.clock.now();
         match effect {
             Effect::Done(_, done) => {
-                if let Some((line, sender)) = self.waiting.remove(&done.job) {
-                    let run = &mut self.runs[line];
+                if let Some((run_index, sender)) = self.waiting.remove(&done.job) {
+                    let run = &mut self.runs[run_index];
                     run.ended = Some(now);
                     run.ran = done.ran;
                     run.reply = Some(done.reply);
-                    let _ = sender.send(done); // its connection may have ended
+                    let _ = sender.send(done); // the connection may have ended
                 }
             }
             Effect::Refuse(server) => {
@@ -279,7 +282,7 @@
                 self.gates[server].send_modify(|gate| *gate = (Gate::Silent, gate.1 + 1));
             }
             Effect::Listen(server) => {
-                // Whatever a silent machine held is reset once it is back.
+                // A machine that comes back resets the connections from before.
                 self.gates[server].send_modify(|gate| *gate = (Gate::Closed, gate.1 + 1));
                 self.listeners[server].drain(..).for_each(|task| task.abort());
                 self.gates[server] = watch::channel((Gate::Open, 0)).0;
--- a/crates/lab/src/servers/connections.rs
+++ b/crates/lab/src/servers/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of nodes to servers, and the requests on them.
+//! Connections from nodes to the simulated servers, and the requests on them.
 
 use super::*;
 
@@ -7,14 +7,14 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let (gate, taken) = {
-                        let mut hub = self.lock();
-                        (hub.gates[server].subscribe(), hub.fleet.open(server))
+                    let (gate, accepted) = {
+                        let mut state = self.lock();
+                        (state.gates[server].subscribe(), state.fleet.open(server))
                     };
-                    tokio::spawn(self.clone().connection(node, server, stream, gate, taken));
+                    tokio::spawn(self.clone().connection(node, server, stream, gate, accepted));
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "accept");
+                    tracing::warn!(%error, "accepting a connection from a node failed; retrying");
                     sleep(Duration::from_millis(10)).await;
                 }
             }
@@ -23,81 +23,81 @@
 
     async fn connection(
         self, node: usize, server: usize, mut stream: TcpStream, mut gate: watch::Receiver<(Gate, u64)>,
-        taken: bool,
+        accepted: bool,
     ) {
         let number = gate.borrow().1;
         let _ = stream.set_nodelay(true);
-        let ended = self.serve(node, server, &mut stream, &mut gate, taken).await;
-        if taken && gate.borrow().1 == number {
-            self.lock().fleet.closed(server); // a server that died has forgotten all of them
+        let ended = self.serve(node, server, &mut stream, &mut gate, accepted).await;
+        if accepted && gate.borrow().1 == number {
+            self.lock().fleet.closed(server); // a server that went down has already dropped its connections
         }
-        if ended == Ending::Reset {
-            let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO)); // the close becomes a reset
+        if ended == CloseMode::Reset {
+            let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO)); // makes the close send a reset
         }
     }
 
     async fn serve(
         &self, node: usize, server: usize, stream: &mut TcpStream, gate: &mut watch::Receiver<(Gate, u64)>,
-        taken: bool,
-    ) -> Ending {
+        accepted: bool,
+    ) -> CloseMode {
         let mut reader = Reader::default();
         let idle = self.lock().fleet.servers()[server].idle_time();
         let mut fresh = true;
         loop {
             if gate.borrow_and_update().0 == Gate::Silent {
                 tokio::select! {
-                    changed = gate.changed() => if changed.is_err() { return Ending::Reset },
+                    changed = gate.changed() => if changed.is_err() { return CloseMode::Reset },
                 }
                 continue;
             }
             if gate.borrow().0 == Gate::Closed {
-                return Ending::Reset;
+                return CloseMode::Reset;
             }
             let request = tokio::select! {
                 read = timeout(Duration::from_nanos(idle), reader.next(stream, Side::Server)) => match read {
                     Ok(Ok(Some(request))) => request,
-                    _ => return Ending::Close,
+                    _ => return CloseMode::Close,
                 },
                 changed = gate.changed() => match changed {
                     Ok(()) => continue,
-                    Err(_) => return Ending::Reset,
+                    Err(_) => return CloseMode::Reset,
                 },
             };
-            if !taken {
-                let _ = stream.write_all(&turned_away()).await;
-                return Ending::Close;
+            if !accepted {
+                let _ = stream.write_all(&rejection()).await;
+                return CloseMode::Close;
             }
             let Some((job, id, done)) = self.arrived(node, server, &request, std::mem::take(&mut fresh))
             else {
                 let _ = stream.write_all(&answer(404, "", "")).await;
-                return Ending::Close;
+                return CloseMode::Close;
             };
             let Some(done) = self.outcome(server, job, done, stream, &mut reader, gate).await else {
-                return Ending::Close;
+                return CloseMode::Close;
             };
             let text = match done.reply {
                 Reply::Served => answer(200, "Content-Type: text/plain\r\n", &body(id)),
                 Reply::Error => answer(500, "", "error"),
-                Reply::TurnedAway => turned_away(),
-                Reply::Reset => return Ending::Reset,
+                Reply::TurnedAway => rejection(),
+                Reply::Reset => return CloseMode::Reset,
                 Reply::Cut => {
                     let whole = answer(200, "", &body(id));
                     let _ = stream.write_all(&whole[..whole.len() - 5]).await;
-                    return Ending::Close;
+                    return CloseMode::Close;
                 }
                 Reply::Malformed => {
                     let _ = stream.write_all(b"HTTP/1.1 2OO\x00 nonsense\r\n\r\n").await;
-                    return Ending::Close;
+                    return CloseMode::Close;
                 }
-                Reply::Silence => continue, // whoever asked learns nothing, and closes when it has had enough
+                Reply::Silence => continue, // the node gets no response and closes after its timeout
             };
             if stream.write_all(&text).await.is_err() {
-                return Ending::Close;
+                return CloseMode::Close;
             }
         }
     }
 
-    /// Waits for the end of an attempt; none if whoever sent it closed the connection first.
+    /// Waits until an attempt is done; returns `None` if the node closed the connection first.
     async fn outcome(
         &self, server: usize, job: u64, mut done: oneshot::Receiver<Done>, stream: &mut TcpStream,
         reader: &mut Reader, gate: &mut watch::Receiver<(Gate, u64)>,
@@ -105,7 +105,7 @@
         loop {
             tokio::select! {
                 biased;
-                // An attempt whose answer never comes has no sender any more: only the other side ends it.
+                // An attempt that is never answered has no sender any more: only the node or the gate can end it.
                 ended = &mut done => match ended {
                     Ok(done) if done.reply != Reply::Silence => return Some(done),
                     _ => loop {
@@ -118,46 +118,48 @@
                     },
                 },
                 read = reader.fill(stream) => if !matches!(read, Ok(1..)) {
-                    let mut hub = self.lock();
-                    let now = hub.clock.now();
-                    hub.act(|fleet, effects| fleet.abandoned(now, server, job, effects));
+                    let mut state = self.lock();
+                    let now = state.clock.now();
+                    state.act(|fleet, effects| fleet.abandoned(now, server, job, effects));
                     return None;
                 },
             }
         }
     }
 
-    /// Writes an arrival down and hands it to its server; none if it is no request of the protocol's.
+    /// Records the arrival of a request and passes it to the server model; returns `None` if the headers X-Txn or
+    /// X-Lane are missing or invalid.
     fn arrived(
         &self, node: usize, server: usize, request: &Message, fresh: bool,
     ) -> Option<(u64, u64, oneshot::Receiver<Done>)> {
         let id = u64::from_str_radix(request.header("x-txn")?, 16).ok()?;
-        let class = request.header("x-lane").and_then(|name| self.lock().day.class(name))?;
-        let stated = request.query("work").and_then(|work| work.parse().ok());
+        let class = request.header("x-lane").and_then(|name| self.lock().experiment.class(name))?;
+        let requested_work = request.query("work").and_then(|work| work.parse().ok());
         let remaining: Nanos = request.header("x-remaining-ms").and_then(|ms| ms.parse().ok()).unwrap_or(0);
         let (sender, done) = oneshot::channel();
-        let mut hub = self.lock();
-        let now = hub.clock.now();
-        hub.next += 1;
-        let job = hub.next;
-        let since = hub.fleet.since(server);
-        let told = hub.known_since.get(&(node, server)).is_some_and(|&known| known >= since);
-        let line = hub.runs.len();
-        hub.runs.push(Run { id, node, server, arrived: now, ended: None, reply: None, ran: false });
-        hub.waiting.insert(job, (line, sender));
-        let work = stated.unwrap_or(UNSTATED);
+        let mut state = self.lock();
+        let now = state.clock.now();
+        state.next += 1;
+        let job = state.next;
+        let since = state.fleet.since(server);
+        let told = state.known_since.get(&(node, server)).is_some_and(|&known| known >= since);
+        let run_index = state.runs.len();
+        state.runs.push(Run { id, node, server, arrived: now, ended: None, reply: None, ran: false });
+        state.waiting.insert(job, (run_index, sender));
+        let work = requested_work.unwrap_or(DEFAULT_WORK);
         let arrival = Arrival { job, class, work, expires: now + remaining * MS, fresh, told };
-        hub.act(|fleet, effects| fleet.request(now, server, arrival, effects));
+        state.act(|fleet, effects| fleet.request(now, server, arrival, effects));
         Some((job, id, done))
     }
 }
 
+/// How the server's side ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ending {
+enum CloseMode {
     Close,
     Reset,
 }
 
-fn turned_away() -> Vec<u8> {
+fn rejection() -> Vec<u8> {
     answer(503, "X-Turned-Away: 1\r\n", "")
 }
--- a/crates/lab/src/servers/lists.rs
+++ b/crates/lab/src/servers/lists.rs
@@ -1,9 +1,9 @@
-//! Discovery on sockets: its calls, and what goes wrong with them.
+//! The discovery service on sockets, with injected faults of its calls.
 
 use super::*;
 
 impl Servers {
-    /// Takes one node's calls.
+    /// Accepts the discovery calls of one node.
     pub(super) async fn discovery(self, node: usize, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -41,10 +41,10 @@
             let listing = tokio::select! {
                 listing = told => listing.ok().flatten(),
                 read = reader.fill(&mut stream) => {
-                    let _ = read; // one call at a time: whatever comes meanwhile ends it
-                    let mut hub = self.lock();
-                    hub.calls.remove(&call);
-                    hub.fleet.call_left(call);
+                    let _ = read; // a connection carries one call at a time: more bytes or a close cancel it
+                    let mut state = self.lock();
+                    state.calls.remove(&call);
+                    state.fleet.call_left(call);
                     return;
                 }
             };
@@ -55,11 +55,11 @@
             let text = match listing {
                 None => answer(503, "", ""),
                 Some(listing) => {
-                    let mut hub = self.lock();
+                    let mut state = self.lock();
                     if fault != Some(ListFault::Cut) {
-                        hub.note(node, restarts, &listing);
+                        state.note(node, restarts, &listing);
                     }
-                    let list = platform::list(&hub.day, &listing, node, &hub.shown, &hub.clock);
+                    let list = platform::list(&state.experiment, &listing, node, &state.shown, &state.clock);
                     answer(200, "Content-Type: application/json\r\n", &list.to_string())
                 }
             };
@@ -72,17 +72,17 @@
 
     fn call(&self, watch: Option<(u64, Nanos)>) -> (u64, oneshot::Receiver<Option<Listing>>) {
         let (sender, told) = oneshot::channel();
-        let mut hub = self.lock();
-        hub.next += 1;
-        let (call, now) = (hub.next, hub.clock.now());
-        hub.calls.insert(call, sender);
-        hub.act(|fleet, effects| fleet.call(now, call, watch, effects));
+        let mut state = self.lock();
+        state.next += 1;
+        let (call, now) = (state.next, state.clock.now());
+        state.calls.insert(call, sender);
+        state.act(|fleet, effects| fleet.call(now, call, watch, effects));
         (call, told)
     }
 }
 
-impl Hub {
-    /// Writes down what a node is told; an answer that comes after a newer one tells nothing.
+impl SharedState {
+    /// Records what a node was told. A list that is written after a newer one is ignored.
     pub(super) fn note(&mut self, node: usize, restarts: usize, listing: &Listing) {
         let at = self.clock.now();
         let version = (restarts, listing.index);
@@ -100,7 +100,7 @@
         }
         if listing.snapshot {
             let listed: Vec<usize> = listing.entries.iter().map(|entry| entry.server).collect();
-            let gone = (0..self.day.servers()).filter(|server| !listed.contains(server));
+            let gone = (0..self.experiment.servers()).filter(|server| !listed.contains(server));
             let gone: Vec<usize> = gone.collect();
             let told = |server| Told { node, server, status: Status::Terminated, at };
             self.told.extend(gone.into_iter().map(told));
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,8 +1,8 @@
-//! The same day in virtual time: the same models and the decision module itself, without sockets.
+//! Runs an experiment in virtual time with the same models and the decision module, without sockets.
 //!
-//! A day of minutes takes a second or two and is the same each time, so that many seeds can be searched. What
-//! only sockets show is left out: connections that close when idle, peers that send nothing, memory,
-//! descriptors and the cost of the processor.
+//! An experiment of several minutes takes a second or two and is deterministic, so that many seeds can be searched.
+//! Effects that need sockets are left out: idle connections that close, peers that send nothing, memory, descriptors
+//! and processor time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -31,63 +31,68 @@
 
 use attempts::{code, outcome};
 
-/// The module's clock at the day's start: late enough that a start before the day is long ago.
+/// Clock of the decision module at the start of the experiment, so late that servers which started before the
+/// experiment count as started long ago.
 const EPOCH: Nanos = 1_000 * SECOND;
-/// One way between a client and its node, and between a node and a server.
-const CLIENT_WAY: Nanos = 400_000;
-const SERVER_WAY: Nanos = 150_000;
-/// Handshake of a new connection, beyond one way.
-const HANDSHAKE: Nanos = 2 * SERVER_WAY;
-/// Time after which a connection that does not come up has failed.
-const CONNECT: Nanos = 200 * MS;
-/// Kept back of the client's time for the answer's way, as a node on sockets does.
-const MARGIN: Nanos = 5 * MS;
-/// Time that a watch asks for, and before the next call after one failed.
-const WATCH: Nanos = 5 * SECOND;
-const BACKOFF: Nanos = 100 * MS;
-/// What discovery shows counts as told after this.
-const TOLD_LATEST: Nanos = 6 * SECOND;
-/// Time between the end of a node and its new start.
-const RESTART: Nanos = 300 * MS;
-/// Steps after which a day is given up as one that does not end.
-const STEPS_MOST: u64 = 200_000_000;
+/// One-way delay between a client and its node.
+const CLIENT_DELAY: Nanos = 400_000;
+/// One-way delay between a node and a server.
+const SERVER_DELAY: Nanos = 150_000;
+/// Delay of the handshake of a new connection, in addition to the one-way delay.
+const HANDSHAKE: Nanos = 2 * SERVER_DELAY;
+/// Time after which a connection attempt to a vanished server fails.
+const CONNECT_TIMEOUT: Nanos = 200 * MS;
+/// Part of the client's time budget that is reserved for returning the response, as in a node on sockets.
+const RESPONSE_MARGIN: Nanos = 5 * MS;
+/// Time for which a discovery poll waits for a change.
+const POLL_WAIT: Nanos = 5 * SECOND;
+/// Delay of the next discovery poll after a failed one.
+const POLL_RETRY: Nanos = 100 * MS;
+/// A change that discovery shows counts as announced to every node after this time.
+const ANNOUNCED_AFTER: Nanos = 6 * SECOND;
+/// Time between the end of a node in a rolling restart and its next start.
+const RESTART_DELAY: Nanos = 300 * MS;
+/// Maximum simulated events of a run; a run that exceeds it fails instead of running forever.
+const MAX_STEPS: u64 = 200_000_000;
 
+/// Events of the simulation. A node's events carry its incarnation, so that those of an earlier one are ignored.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum SimEvent {
     Fleet,
     Clients,
-    /// A request has reached its node.
-    Asked(usize, u64),
-    /// An answer has reached its client.
-    Answered(u64, u16, Nanos, bool),
-    /// A client's patience is over.
-    Patience(u64),
+    /// A request has arrived at its node.
+    RequestArrived(usize, u64),
+    /// A response has arrived at its client.
+    ResponseArrived(u64, u16, Nanos, bool),
+    /// A client stops waiting.
+    ClientTimeout(u64),
     Timer(usize, u32, u64),
-    /// An attempt has reached its server.
-    Arrives(u64),
-    /// What an attempt came to has reached its node.
-    Ends(u64, u8),
+    /// An attempt has arrived at its server.
+    AttemptArrived(u64),
+    /// The result of an attempt, as a code of [`outcome`], has arrived at its node.
+    AttemptEnded(u64, u8),
     /// An attempt has timed out at its node.
-    TimesOut(u64),
-    /// A node asks discovery.
-    Asks(usize, u32),
+    AttemptTimedOut(u64),
+    /// A node polls discovery.
+    DiscoveryPoll(usize, u32),
     NodeStart(usize),
 }
 
 struct Attempt {
     node: usize,
-    life: u32, // which of the node's lives sent it
+    incarnation: u32, // of the node that sent it
     request: RequestId,
     number: u32,
     server: usize,
     sent: Nanos,
-    fresh: bool,
+    new_connection: bool,
     id: u64,
-    line: Option<usize>, // in the ledger, once it has arrived
+    run_index: Option<usize>, // index of its run in the ledger, once it has arrived
     open: bool,
 }
 
-struct Open {
+/// A request at a node that is unanswered or has attempts in flight.
+struct OpenRequest {
     id: u64,
     attempts: Vec<u64>,
     answered: bool,
@@ -96,22 +101,22 @@
 struct Node {
     balancer: Balancer,
     names: NameTables,
-    life: u32,
+    incarnation: u32,
     up: bool,
     leaving: bool,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, OpenRequest>,
     next: u64,
     index: Option<u64>,
-    idle: Vec<u32>, // connections, by server
+    idle: Vec<u32>, // idle connections, by server
     since: BTreeMap<usize, Nanos>,
 }
 
-struct Sim<'a> {
-    day: &'a Experiment,
+struct Simulator<'a> {
+    experiment: &'a Experiment,
     now: Nanos,
-    due: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
+    due: BinaryHeap<Reverse<(Nanos, u64, SimEvent)>>,
     sequence: u64,
-    fleet_at: Nanos, // when the fleet and the clients are next looked at
+    fleet_at: Nanos, // when the next event of the fleet and of the clients is scheduled
     clients_at: Nanos,
     fleet: Fleet,
     clients: Clients,
@@ -125,21 +130,23 @@
     ledger: Ledger,
 }
 
-/// Plays a day; always to the same end.
-pub fn play(name: &str, day: &Experiment) -> Result<(Report, Vec<Breach>), String> {
-    day.check().map_err(|fault| format!("{name}: {fault}"))?;
-    let seed = Seed(day.seed);
-    let nodes: Result<Vec<Node>, String> = (0..day.nodes.count).map(|node| Node::new(day, node, 0)).collect();
-    let mut sim = Sim {
-        day,
+/// Runs an experiment; the same experiment and seed give the same report. Fails if the experiment is invalid or does
+/// not end.
+pub fn run(name: &str, experiment: &Experiment) -> Result<(Report, Vec<Breach>), String> {
+    experiment.check().map_err(|fault| format!("{name}: {fault}"))?;
+    let seed = Seed(experiment.seed);
+    let nodes: Result<Vec<Node>, String> =
+        (0..experiment.nodes.count).map(|node| Node::new(experiment, node, 0)).collect();
+    let mut sim = Simulator {
+        experiment,
         now: 0,
         due: BinaryHeap::new(),
         sequence: 0,
         fleet_at: Nanos::MAX,
         clients_at: Nanos::MAX,
-        fleet: Fleet::new(day, seed),
-        clients: Clients::new(day, seed),
-        front: Front::new((0..day.nodes.count).map(|node| day.zone_of_node(node)).collect()),
+        fleet: Fleet::new(experiment, seed),
+        clients: Clients::new(experiment, seed),
+        front: Front::new((0..experiment.nodes.count).map(|node| experiment.zone_of_node(node)).collect()),
         rng: seed.stream("front", 0),
         nodes: nodes?,
         tries: BTreeMap::new(),
@@ -148,168 +155,180 @@
         next: 0,
         ledger: Ledger::default(),
     };
-    for node in 0..day.nodes.count {
+    for node in 0..experiment.nodes.count {
         sim.start_node(node);
     }
-    sim.look_at_fleet();
-    sim.look_at_clients();
+    sim.schedule_fleet();
+    sim.schedule_clients();
     let mut steps = 0;
     while !sim.clients.done() {
         let Some(Reverse((at, _, due))) = sim.due.pop() else { break };
         sim.now = at;
         sim.step(due)?;
         steps += 1;
-        if steps > STEPS_MOST {
-            return Err(format!("{name}: the day does not end"));
+        if steps > MAX_STEPS {
+            return Err(format!("{name}: the simulation did not end within {MAX_STEPS} events"));
         }
     }
     let mut ledger = sim.ledger;
     ledger.wishes = sim.clients.wishes().to_vec();
     let servers = sim.fleet.servers().iter().enumerate();
     ledger.falls = servers.filter_map(|(n, server)| server.fallen().map(|fall| (n, fall))).collect();
-    told_by_default(&mut ledger.told, sim.fleet.shown(), day.nodes.count, TOLD_LATEST, &outages(day, seed));
-    let mut report = report(day, &ledger);
-    let breaches = report.judge(day, &ledger);
+    told_by_default(
+        &mut ledger.told,
+        sim.fleet.shown(),
+        experiment.nodes.count,
+        ANNOUNCED_AFTER,
+        &outages(experiment, seed),
+    );
+    let mut report = report(experiment, &ledger);
+    let breaches = report.judge(experiment, &ledger);
     report.experiment = name.to_owned();
     report.nodes = "the decision module, in virtual time".to_owned();
     Ok((report, breaches))
 }
 
 impl Node {
-    fn new(day: &Experiment, node: usize, life: u32) -> Result<Self, String> {
-        let env: PlatformSettings = serde_json::from_value(platform::settings(day, node))
+    fn new(experiment: &Experiment, node: usize, incarnation: u32) -> Result<Self, String> {
+        let env: PlatformSettings = serde_json::from_value(platform::settings(experiment, node))
             .map_err(|error| format!("settings: {error}"))?;
         let mut names = NameTables::default();
         let settings = env.decision_settings(&mut names)?;
-        // Servers are numbered as in the day.
-        for server in 0..day.servers() {
+        // Interns the names in order, so that a server's id is its number in the experiment.
+        for server in 0..experiment.servers() {
             names.servers.intern(&platform::server_name(server));
         }
-        let seed = mix(day.seed ^ mix(node as u64 * 1_000 + u64::from(life)));
+        let seed = mix(experiment.seed ^ mix(node as u64 * 1_000 + u64::from(incarnation)));
         Ok(Node {
             balancer: Balancer::new(settings, seed),
             names,
-            life,
+            incarnation,
             up: true,
             leaving: false,
             open: BTreeMap::new(),
             next: 0,
             index: None,
-            idle: vec![0; day.servers()],
+            idle: vec![0; experiment.servers()],
             since: BTreeMap::new(),
         })
     }
 }
 
-impl Sim<'_> {
-    fn at(&mut self, at: Nanos, due: Due) {
+impl Simulator<'_> {
+    fn schedule(&mut self, at: Nanos, due: SimEvent) {
         self.sequence += 1;
         self.due.push(Reverse((at, self.sequence, due)));
     }
 
     fn start_node(&mut self, node: usize) {
-        let whole = self.fleet.list();
-        self.hear(node, ListKind::Persisted, &whole);
+        let list = self.fleet.list();
+        self.apply_list(node, ListKind::Persisted, &list);
         self.front.ready(node);
-        let life = self.nodes[node].life;
-        if !self.day.nodes.ask {
-            self.at(self.now, Due::Asks(node, life));
+        let incarnation = self.nodes[node].incarnation;
+        if !self.experiment.nodes.ask {
+            self.schedule(self.now, SimEvent::DiscoveryPoll(node, incarnation));
         }
     }
 
-    fn step(&mut self, due: Due) -> Result<(), String> {
+    fn step(&mut self, due: SimEvent) -> Result<(), String> {
         match due {
-            // One of several looks: whichever came first has done it.
-            Due::Fleet if self.fleet_at > self.now => {}
-            Due::Clients if self.clients_at > self.now => {}
-            Due::Fleet => {
+            // An earlier event has been scheduled meanwhile and has done the work.
+            SimEvent::Fleet if self.fleet_at > self.now => {}
+            SimEvent::Clients if self.clients_at > self.now => {}
+            SimEvent::Fleet => {
                 self.fleet_at = Nanos::MAX;
-                self.fleet(|fleet, now, out| fleet.advance(now, out));
+                self.with_fleet(|fleet, now, out| fleet.advance(now, out));
             }
-            Due::Clients => {
+            SimEvent::Clients => {
                 self.clients_at = Nanos::MAX;
                 while let Some(start) = self.clients.start(self.now) {
-                    self.attend(start);
+                    self.start_try(start);
                 }
-                self.look_at_clients();
+                self.schedule_clients();
             }
-            Due::Asked(node, id) => self.asked(node, id),
-            Due::Answered(id, status, retry_after, genuine) => {
+            SimEvent::RequestArrived(node, id) => self.request_arrived(node, id),
+            SimEvent::ResponseArrived(id, status, retry_after, genuine) => {
                 self.end_try(id, End::Answered { status, retry_after, genuine });
             }
-            Due::Patience(id) => {
+            SimEvent::ClientTimeout(id) => {
                 if let Some((tried, _)) = self.tries.get(&id) {
                     let left = tried.is.leaves_after.is_some();
                     self.end_try(id, if left { End::Left } else { End::Unanswered });
                 }
             }
-            Due::Timer(node, life, token) if self.nodes[node].life == life && self.nodes[node].up => {
-                self.give(node, Event::Timer(token));
+            SimEvent::Timer(node, incarnation, token)
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].up =>
+            {
+                self.deliver(node, Event::Timer(token));
             }
-            Due::Timer(..) => {}
-            Due::Arrives(job) => self.arrives(job),
-            Due::Ends(job, reply) => self.ends(job, outcome(reply)),
-            Due::TimesOut(job) => {
+            SimEvent::Timer(..) => {}
+            SimEvent::AttemptArrived(job) => self.attempt_arrived(job),
+            SimEvent::AttemptEnded(job, reply) => self.attempt_ended(job, outcome(reply)),
+            SimEvent::AttemptTimedOut(job) => {
                 if let Some((server, true)) = self.attempts.get(&job).map(|a| (a.server, a.open)) {
-                    self.ends(job, Outcome::Timeout);
-                    self.fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
+                    self.attempt_ended(job, Outcome::Timeout);
+                    self.with_fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
                 }
             }
-            Due::Asks(node, life) => {
-                if self.nodes[node].life == life && self.nodes[node].up {
+            SimEvent::DiscoveryPoll(node, incarnation) => {
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].up {
                     self.next += 1;
                     let call = self.next;
-                    self.calls.insert(call, (node, life));
-                    let watch = self.nodes[node].index.map(|index| (index, WATCH));
-                    self.fleet(|fleet, now, out| fleet.call(now, call, watch, out));
+                    self.calls.insert(call, (node, incarnation));
+                    let watch = self.nodes[node].index.map(|index| (index, POLL_WAIT));
+                    self.with_fleet(|fleet, now, out| fleet.call(now, call, watch, out));
                 }
             }
-            Due::NodeStart(node) => {
-                let life = self.nodes[node].life + 1;
-                self.nodes[node] = Node::new(self.day, node, life)?;
+            SimEvent::NodeStart(node) => {
+                let incarnation = self.nodes[node].incarnation + 1;
+                self.nodes[node] = Node::new(self.experiment, node, incarnation)?;
                 self.start_node(node);
             }
         }
         Ok(())
     }
 
-    fn fleet(&mut self, act: impl FnOnce(&mut Fleet, Nanos, &mut Vec<Effect>)) {
+    fn with_fleet(&mut self, act: impl FnOnce(&mut Fleet, Nanos, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
         act(&mut self.fleet, self.now, &mut effects);
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
-        self.look_at_fleet();
+        self.schedule_fleet();
     }
 
-    /// Looks at the fleet when it next has something to say, unless that is to be done as early already.
-    fn look_at_fleet(&mut self) {
+    /// Schedules the fleet's next event, unless an event at that time or earlier is already scheduled.
+    fn schedule_fleet(&mut self) {
         if let Some(next) =
             self.fleet.next_due().map(|next| next.max(self.now)).filter(|&at| at < self.fleet_at)
         {
             self.fleet_at = next;
-            self.at(next, Due::Fleet);
+            self.schedule(next, SimEvent::Fleet);
         }
     }
 
-    /// The same of the clients.
-    fn look_at_clients(&mut self) {
+    /// Schedules the clients' next event, unless an event at that time or earlier is already scheduled.
+    fn schedule_clients(&mut self) {
         let next = self.clients.next_due().map(|next| next.max(self.now));
         if let Some(next) = next.filter(|&at| at < self.clients_at) {
             self.clients_at = next;
-            self.at(next, Due::Clients);
+            self.schedule(next, SimEvent::Clients);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Done(_, done) => {
                 let Some(attempt) = self.attempts.get(&done.job) else { return };
-                if let Some(run) = attempt.line.and_then(|line| self.ledger.runs.get_mut(line)) {
+                if let Some(run) = attempt.run_index.and_then(|run_index| self.ledger.runs.get_mut(run_index))
+                {
                     (run.ended, run.ran, run.reply) = (Some(self.now), done.ran, Some(done.reply));
                 }
                 if done.reply != Reply::Silence {
-                    self.at(self.now + SERVER_WAY, Due::Ends(done.job, code(done.reply)));
+                    self.schedule(
+                        self.now + SERVER_DELAY,
+                        SimEvent::AttemptEnded(done.job, code(done.reply)),
+                    );
                 }
             }
             Effect::Refuse(server) | Effect::Listen(server) => {
@@ -317,8 +336,8 @@
             }
             Effect::Silence(_) => {}
             Effect::Told(answer) => {
-                let Some((node, life)) = self.calls.remove(&answer.call) else { return };
-                if self.nodes[node].life != life || !self.nodes[node].up {
+                let Some((node, incarnation)) = self.calls.remove(&answer.call) else { return };
+                if self.nodes[node].incarnation != incarnation || !self.nodes[node].up {
                     return;
                 }
                 match answer.listing {
@@ -326,45 +345,51 @@
                         let kind = if listing.snapshot { ListKind::Complete } else { ListKind::Partial };
                         self.nodes[node].index = Some(listing.index);
                         if listing.snapshot || !listing.entries.is_empty() {
-                            self.hear(node, kind, &listing);
+                            self.apply_list(node, kind, &listing);
                         }
-                        self.at(self.now, Due::Asks(node, life));
+                        self.schedule(self.now, SimEvent::DiscoveryPoll(node, incarnation));
                     }
                     None => {
                         self.nodes[node].index = None;
-                        if self.day.nodes.ask {
-                            self.give(node, Event::Servers { kind: ListKind::Failed, entries: Vec::new() });
+                        if self.experiment.nodes.ask {
+                            self.deliver(
+                                node,
+                                Event::Servers { kind: ListKind::Failed, entries: Vec::new() },
+                            );
                         } else {
-                            self.at(self.now + BACKOFF, Due::Asks(node, life));
+                            self.schedule(self.now + POLL_RETRY, SimEvent::DiscoveryPoll(node, incarnation));
                         }
                     }
                 }
             }
-            Effect::Other(change) => self.other(change),
+            Effect::Other(change) => self.apply_change(change),
         }
     }
 
-    fn other(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change {
             Change::Mark(what) => self.ledger.marks.push((self.now, what)),
             Change::NodeKill(node) => {
                 self.ledger.nodes.push((self.now, node, NodeLife::Stopped { killed: true }));
                 self.end_node(node);
             }
-            Change::NodeStart(node) => self.at(self.now, Due::NodeStart(node)),
+            Change::NodeStart(node) => self.schedule(self.now, SimEvent::NodeStart(node)),
             Change::NodeRoll(node) => {
-                // It takes nothing new and answers what it has; by then it has ended.
+                // The node accepts no new requests and answers the open ones. It has ended before the next start.
                 self.ledger.nodes.push((self.now, node, NodeLife::Stopped { killed: false }));
                 self.front.gone(node, self.now);
                 self.nodes[node].leaving = true;
-                self.at(self.now + self.day.longest() + RESTART, Due::NodeStart(node));
+                self.schedule(
+                    self.now + self.experiment.longest() + RESTART_DELAY,
+                    SimEvent::NodeStart(node),
+                );
             }
             _ => {}
         }
     }
 
     fn end_node(&mut self, node: usize) {
-        self.front.gone(node, self.now + millis(self.day.nodes.notice_ms));
+        self.front.gone(node, self.now + millis(self.experiment.nodes.notice_ms));
         self.nodes[node].up = false;
         let out: Vec<u64> =
             self.tries.iter().filter(|(_, (t, _))| t.node == Some(node)).map(|(&id, _)| id).collect();
@@ -381,11 +406,11 @@
             })
             .collect();
         for (job, server) in jobs {
-            self.fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
+            self.with_fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
         }
     }
 
-    fn attend(&mut self, start: Try) {
+    fn start_try(&mut self, start: Try) {
         let node = self.front.pick(self.now, start.wish.zone, &mut self.rng);
         let reached = node.filter(|&node| self.nodes[node].up && !self.nodes[node].leaving);
         let written = reached.map(|_| self.now);
@@ -402,10 +427,10 @@
         self.tries.insert(start.id, (tried, RequestId(u64::MAX)));
         match reached {
             Some(node) => {
-                let most = start.budget + millis(self.day.rules.grace_ms);
-                let most = start.leaves_after.map_or(most, |leaves| most.min(leaves));
-                self.at(self.now + most, Due::Patience(start.id));
-                self.at(self.now + CLIENT_WAY, Due::Asked(node, start.id));
+                let limit = start.budget + millis(self.experiment.rules.grace_ms);
+                let limit = start.leaves_after.map_or(limit, |leaves| limit.min(leaves));
+                self.schedule(self.now + limit, SimEvent::ClientTimeout(start.id));
+                self.schedule(self.now + CLIENT_DELAY, SimEvent::RequestArrived(node, start.id));
             }
             None => self.end_try(start.id, End::Unreachable),
         }
@@ -416,16 +441,16 @@
         (tried.ended, tried.end) = (self.now, end);
         self.ledger.tries.push(tried);
         self.clients.ended(self.now, id, end);
-        self.look_at_clients();
+        self.schedule_clients();
         let Some(node) = tried.node.filter(|&node| self.nodes[node].up) else { return };
         let waits = self.nodes[node].open.get(&request).is_some_and(|open| !open.answered);
         if waits && matches!(end, End::Left | End::Unanswered) {
-            self.give(node, Event::ClientGone(request));
-            self.settle(node, request);
+            self.deliver(node, Event::ClientGone(request));
+            self.forget_if_done(node, request);
         }
     }
 
-    fn asked(&mut self, node: usize, id: u64) {
+    fn request_arrived(&mut self, node: usize, id: u64) {
         let Some((tried, request)) = self.tries.get_mut(&id) else { return };
         if !self.nodes[node].up {
             return;
@@ -434,11 +459,11 @@
         own.next += 1;
         *request = RequestId(own.next);
         let id_at_node = *request;
-        own.open.insert(id_at_node, Open { id, attempts: Vec::new(), answered: false });
+        own.open.insert(id_at_node, OpenRequest { id, attempts: Vec::new(), answered: false });
         let start = tried.is;
-        let budget = start.budget.saturating_sub(2 * CLIENT_WAY + MARGIN);
-        let tenant = (!self.day.tenants.is_empty()).then_some(start.wish.tenant);
-        self.give(
+        let budget = start.budget.saturating_sub(2 * CLIENT_DELAY + RESPONSE_MARGIN);
+        let tenant = (!self.experiment.tenants.is_empty()).then_some(start.wish.tenant);
+        self.deliver(
             node,
             Event::Request(Request {
                 id: id_at_node,
@@ -447,22 +472,22 @@
                 key: Some(start.wish.key),
                 client_timeout: budget,
                 cost_hint: None,
-                is_retry: self.day.clients.marks && start.number > 0,
+                is_retry: self.experiment.clients.marks && start.number > 0,
                 streams_body: false,
             }),
         );
-        self.settle(node, id_at_node);
+        self.forget_if_done(node, id_at_node);
     }
 
-    fn hear(&mut self, node: usize, kind: ListKind, listing: &Listing) {
-        let kinds = self.day.kinds();
+    fn apply_list(&mut self, node: usize, kind: ListKind, listing: &Listing) {
+        let kinds = self.experiment.kinds();
         let own = &mut self.nodes[node];
         let mut entries = Vec::new();
         for entry in &listing.entries {
-            let of_kind = &self.day.fleet.kinds[kinds[entry.server]];
+            let of_kind = &self.experiment.fleet.kinds[kinds[entry.server]];
             entries.push(own.names.server_entry(NamedServer {
                 name: &platform::server_name(entry.server),
-                zone: Some(&self.day.fleet.zones[self.day.zone_of_server(entry.server)]),
+                zone: Some(&self.experiment.fleet.zones[self.experiment.zone_of_server(entry.server)]),
                 host_type: Some(&of_kind.name),
                 cell: Some(entry.server as u64 / 4),
                 readiness: match entry.status {
@@ -480,40 +505,42 @@
             self.ledger.told.push(Told { node, server, status, at });
         }
         if listing.snapshot {
-            for server in 0..self.day.servers() {
+            for server in 0..self.experiment.servers() {
                 if !listing.entries.iter().any(|entry| entry.server == server) {
                     let (status, at) = (Status::Terminated, self.now);
                     self.ledger.told.push(Told { node, server, status, at });
                 }
             }
         }
-        self.give(node, Event::Servers { kind, entries });
+        self.deliver(node, Event::Servers { kind, entries });
     }
 
-    fn give(&mut self, node: usize, event: Event) {
+    fn deliver(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].balancer.handle(EPOCH + self.now, event, &mut actions);
-        actions.into_iter().for_each(|action| self.act(node, action));
+        actions.into_iter().for_each(|action| self.execute(node, action));
     }
 
-    fn act(&mut self, node: usize, action: Action) {
-        let life = self.nodes[node].life;
+    fn execute(&mut self, node: usize, action: Action) {
+        let incarnation = self.nodes[node].incarnation;
         match action {
-            Action::Send { id, server, timeout, .. } => self.send(node, id, server, timeout),
+            Action::Send { id, server, timeout, .. } => self.send_attempt(node, id, server, timeout),
             Action::Cancel { id, attempt } => {
                 let job = self.nodes[node].open.get(&id).and_then(|open| open.attempts.get(attempt as usize));
                 let Some(&job) = job else { return };
                 let Some(server) = self.attempts.get(&job).filter(|a| a.open).map(|a| a.server) else {
                     return;
                 };
-                self.ends(job, Outcome::Cancelled);
-                self.fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
+                self.attempt_ended(job, Outcome::Cancelled);
+                self.with_fleet(|fleet, now, out| fleet.abandoned(now, server, job, out));
             }
             Action::Refuse { id, retry_after } => self.answer(node, id, 503, retry_after, false),
             Action::Fail { id } => self.answer(node, id, 502, 0, false),
-            Action::Timer { after, token } => self.at(self.now + after, Due::Timer(node, life, token)),
-            Action::Watch => self.at(self.now, Due::Asks(node, life)),
-            Action::Probe { .. } | Action::SendToPeers { .. } => {} // not allowed on these days
+            Action::Timer { after, token } => {
+                self.schedule(self.now + after, SimEvent::Timer(node, incarnation, token))
+            }
+            Action::Watch => self.schedule(self.now, SimEvent::DiscoveryPoll(node, incarnation)),
+            Action::Probe { .. } | Action::SendToPeers { .. } => {} // the settings of experiments do not allow these
         }
     }
 }
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -1,79 +1,78 @@
-//! Attempts at servers, from the module's word to the client's answer.
+//! Attempts at servers, from the decision module's action to the response for the client.
 
 use super::*;
 
-impl Sim<'_> {
-    pub(super) fn send(&mut self, node: usize, request: RequestId, server: ServerId, timeout: Nanos) {
+impl Simulator<'_> {
+    pub(super) fn send_attempt(&mut self, node: usize, request: RequestId, server: ServerId, timeout: Nanos) {
         let server = server.0 as usize;
         let own = &mut self.nodes[node];
         let Some(open) = own.open.get_mut(&request) else { return };
         let Some((tried, _)) = self.tries.get(&open.id) else { return };
-        let expires = tried.written.unwrap_or(0) + tried.is.budget - MARGIN;
-        let fresh = own.idle[server] == 0;
+        let expires = tried.written.unwrap_or(0) + tried.is.budget - RESPONSE_MARGIN;
+        let new_connection = own.idle[server] == 0;
         own.idle[server] = own.idle[server].saturating_sub(1);
         self.next += 1;
         let job = self.next;
         let number = open.attempts.len() as u32;
         open.attempts.push(job);
-        let (id, life) = (open.id, own.life);
+        let (id, incarnation) = (open.id, own.incarnation);
         self.attempts.insert(
             job,
             Attempt {
                 node,
-                life,
+                incarnation,
                 request,
                 number,
                 server,
                 sent: self.now,
-                fresh,
+                new_connection,
                 id,
-                line: None,
+                run_index: None,
                 open: true,
             },
         );
         let ends = if timeout == 0 { expires } else { expires.min(self.now + timeout) };
-        self.at(ends.max(self.now), Due::TimesOut(job));
-        let way = if fresh { HANDSHAKE + SERVER_WAY } else { SERVER_WAY };
-        self.at(self.now + way, Due::Arrives(job));
+        self.schedule(ends.max(self.now), SimEvent::AttemptTimedOut(job));
+        let way = if new_connection { HANDSHAKE + SERVER_DELAY } else { SERVER_DELAY };
+        self.schedule(self.now + way, SimEvent::AttemptArrived(job));
     }
 
-    pub(super) fn arrives(&mut self, job: u64) {
+    pub(super) fn attempt_arrived(&mut self, job: u64) {
         let Some(attempt) = self.attempts.get_mut(&job).filter(|attempt| attempt.open) else { return };
-        let (server, node, fresh) = (attempt.server, attempt.node, attempt.fresh);
+        let (server, node, new_connection) = (attempt.server, attempt.node, attempt.new_connection);
         let life = self.fleet.servers()[server].life();
-        if fresh && (life == Life::Down || !self.fleet.open(server)) {
-            return self.at(self.now + SERVER_WAY, Due::Ends(job, UNREACHED));
+        if new_connection && (life == Life::Down || !self.fleet.open(server)) {
+            return self.schedule(self.now + SERVER_DELAY, SimEvent::AttemptEnded(job, CODE_UNREACHED));
         }
-        if fresh && life == Life::Vanished {
-            return self.at(self.now + CONNECT, Due::Ends(job, UNREACHED));
+        if new_connection && life == Life::Vanished {
+            return self.schedule(self.now + CONNECT_TIMEOUT, SimEvent::AttemptEnded(job, CODE_UNREACHED));
         }
-        attempt.line = Some(self.ledger.runs.len());
+        attempt.run_index = Some(self.ledger.runs.len());
         let id = attempt.id;
         let run = Run { id, node, server, arrived: self.now, ended: None, reply: None, ran: false };
         self.ledger.runs.push(run);
-        let Some(wish) = self.wish(id) else { return };
+        let Some((class, work, expires)) = self.class_work_expiry(id) else { return };
         let told =
             self.nodes[node].since.get(&server).is_some_and(|&since| since >= self.fleet.since(server));
-        let (class, work, expires) = (wish.0, wish.1, wish.2);
-        let arrival = Arrival { job, class, work, expires, fresh, told };
-        self.fleet(|fleet, now, out| fleet.request(now, server, arrival, out));
+        let arrival = Arrival { job, class, work, expires, fresh: new_connection, told };
+        self.with_fleet(|fleet, now, out| fleet.request(now, server, arrival, out));
     }
 
-    /// Class, work and end of a try that still runs.
-    fn wish(&self, id: u64) -> Option<(usize, Nanos, Nanos)> {
+    /// Class, work and expiry of a try that has not ended.
+    fn class_work_expiry(&self, id: u64) -> Option<(usize, Nanos, Nanos)> {
         let (tried, _) = self.tries.get(&id)?;
         Some((tried.is.wish.class, tried.is.wish.work, tried.is.planned + tried.is.budget))
     }
 
-    pub(super) fn ends(&mut self, job: u64, status: Outcome) {
+    pub(super) fn attempt_ended(&mut self, job: u64, status: Outcome) {
         let Some(attempt) = self.attempts.get_mut(&job) else { return };
         if !std::mem::replace(&mut attempt.open, false) {
             return;
         }
         let (node, request, number, server) = (attempt.node, attempt.request, attempt.number, attempt.server);
-        let (sent, life, arrived) = (attempt.sent, attempt.life, attempt.line.is_some());
+        let (sent, incarnation, arrived) = (attempt.sent, attempt.incarnation, attempt.run_index.is_some());
         let own = &mut self.nodes[node];
-        if own.life != life || !own.up {
+        if own.incarnation != incarnation || !own.up {
             return;
         }
         if matches!(status, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
@@ -88,7 +87,7 @@
             .open
             .get(&request)
             .is_none_or(|open| open.answered || !self.tries.contains_key(&open.id));
-        self.give(
+        self.deliver(
             node,
             Event::Outcome {
                 id: request,
@@ -100,10 +99,10 @@
                 report: None,
             },
         );
-        self.settle(node, request);
+        self.forget_if_done(node, request);
     }
 
-    /// The only place where a request is answered; only the first answer counts.
+    /// Answers a request. Every response passes through here, and all but the first for a request are ignored.
     pub(super) fn answer(
         &mut self, node: usize, request: RequestId, status: u16, retry_after: Nanos, genuine: bool,
     ) {
@@ -112,11 +111,11 @@
         };
         open.answered = true;
         let id = open.id;
-        self.at(self.now + CLIENT_WAY, Due::Answered(id, status, retry_after, genuine));
+        self.schedule(self.now + CLIENT_DELAY, SimEvent::ResponseArrived(id, status, retry_after, genuine));
     }
 
-    /// Forgets a request that is over and whose attempts have ended.
-    pub(super) fn settle(&mut self, node: usize, request: RequestId) {
+    /// Removes a request that is answered or abandoned once all its attempts have ended.
+    pub(super) fn forget_if_done(&mut self, node: usize, request: RequestId) {
         let Some(open) = self.nodes[node].open.get(&request) else { return };
         let over = open.answered || !self.tries.contains_key(&open.id);
         if over && open.attempts.iter().all(|job| self.attempts.get(job).is_none_or(|a| !a.open)) {
@@ -125,9 +124,10 @@
     }
 }
 
-/// What [`Due::Ends`] says of an attempt that reached nobody.
-const UNREACHED: u8 = 255;
+/// Code in [`SimEvent::AttemptEnded`] of an attempt whose connection failed.
+const CODE_UNREACHED: u8 = 255;
 
+/// Code in [`SimEvent::AttemptEnded`] of a server's reply.
 pub(super) fn code(reply: Reply) -> u8 {
     match reply {
         Reply::Served => 0,
@@ -137,12 +137,13 @@
     }
 }
 
+/// Outcome that the decision module sees for a code of [`code`].
 pub(super) fn outcome(code: u8) -> Outcome {
     match code {
         0 => Outcome::Ok,
         1 => Outcome::Error,
         2 => Outcome::Rejected,
-        UNREACHED => Outcome::ConnectFailed,
+        CODE_UNREACHED => Outcome::ConnectFailed,
         _ => Outcome::Reset,
     }
 }
--- a/crates/lab/src/time.rs
+++ b/crates/lab/src/time.rs
@@ -1,4 +1,4 @@
-//! The day's clock, and a timer finer than the runtime's milliseconds.
+//! The clock of a run, and a timer with a finer resolution than the runtime's milliseconds.
 
 use std::sync::{Arc, Condvar, Mutex, OnceLock, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -6,28 +6,29 @@
 use merlinfold_simulation::Nanos;
 use tokio::sync::Notify;
 
-/// Time since the day's start; 0 until then.
+/// Time since the start of the run in nanoseconds; 0 before the start.
 #[derive(Clone, Debug, Default)]
 pub struct Clock(Arc<OnceLock<(Instant, Nanos)>>);
 
 impl Clock {
-    /// The day begins. Only the first call counts.
+    /// Starts the clock. Calls after the first have no effect.
     pub fn start(&self) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let _ = self.0.set((Instant::now(), unix.as_nanos() as Nanos));
     }
 
-    /// Whether it has begun.
+    /// Whether the clock has been started.
     pub fn started(&self) -> bool {
         self.0.get().is_some()
     }
 
-    /// Time since then.
+    /// Nanoseconds since the start; 0 before it.
     pub fn now(&self) -> Nanos {
         self.0.get().map_or(0, |(start, _)| start.elapsed().as_nanos() as Nanos)
     }
 
-    /// Unix time of a point in the day, in milliseconds; of the day's start it is 0: long ago.
+    /// Unix time in milliseconds of the instant `at` after the start. It is 0 for `at == 0`, because a server that
+    /// runs at the start counts as started long ago.
     pub fn unix_ms(&self, at: Nanos) -> u64 {
         let unix = self.0.get().map_or(0, |&(_, unix)| unix);
         if at == 0 {
@@ -43,35 +44,35 @@
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct TimerState {
     due: Option<Instant>,
-    ended: bool,
+    stopped: bool,
 }
 
-/// Wakes one task at set times. A thread of its own waits, since the runtime rounds up to milliseconds,
-/// which is long beside the service times of the servers here. Ends when it is dropped.
+/// Wakes one task at set times. A dedicated thread waits, because the runtime rounds up to milliseconds, which is
+/// long compared with the service times of the simulated servers. The thread ends when the timer is dropped.
 #[derive(Debug)]
 pub struct Timer {
     clock: Clock,
-    shared: Arc<(Mutex<State>, Condvar)>,
+    shared: Arc<(Mutex<TimerState>, Condvar)>,
     wake: Arc<Notify>,
 }
 
 impl Timer {
-    /// A timer that wakes whoever waits on `wake`.
+    /// Starts a timer that notifies `wake`.
     pub fn new(clock: Clock, wake: Arc<Notify>) -> Self {
-        let shared = Arc::new((Mutex::new(State::default()), Condvar::new()));
-        let (of_thread, notify) = (shared.clone(), wake.clone());
-        std::thread::spawn(move || wait(&of_thread, &notify));
+        let shared = Arc::new((Mutex::new(TimerState::default()), Condvar::new()));
+        let (thread_shared, notify) = (shared.clone(), wake.clone());
+        std::thread::spawn(move || run_timer(&thread_shared, &notify));
         Timer { clock, shared, wake }
     }
 
-    /// What it wakes.
+    /// The `Notify` that the timer notifies.
     pub fn wake(&self) -> &Notify {
         &self.wake
     }
 
-    /// Sets the time at which it wakes next, unless that is set earlier already.
+    /// Sets the next wake-up, unless an earlier one is already set.
     pub fn set(&self, due: Option<Nanos>) {
         let Some(at) = due.and_then(|due| self.clock.instant(due)) else { return };
         let mut state = self.shared.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -84,14 +85,14 @@
 
 impl Drop for Timer {
     fn drop(&mut self) {
-        self.shared.0.lock().unwrap_or_else(PoisonError::into_inner).ended = true;
+        self.shared.0.lock().unwrap_or_else(PoisonError::into_inner).stopped = true;
         self.shared.1.notify_one();
     }
 }
 
-fn wait((state, changed): &(Mutex<State>, Condvar), wake: &Notify) {
+fn run_timer((state, changed): &(Mutex<TimerState>, Condvar), wake: &Notify) {
     let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
-    while !state.ended {
+    while !state.stopped {
         let now = Instant::now();
         state = match state.due {
             None => changed.wait(state).unwrap_or_else(PoisonError::into_inner),
--- a/crates/lab/src/trial/processes.rs
+++ b/crates/lab/src/trial/processes.rs
@@ -35,8 +35,8 @@
 use crate::load::{ready, Load};
 use crate::net::Range;
 use crate::platform;
-use crate::play::Folder;
 use crate::process::{NodeCommand, Process};
+use crate::runner::Folder;
 use crate::servers::Servers;
 use crate::time::Clock;
 
--- a/crates/lab/tests/command.rs
+++ b/crates/lab/tests/command.rs
@@ -1,4 +1,4 @@
-//! The lab as its user meets it.
+//! The lab's command line.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -9,17 +9,17 @@
     Command::new(env!("CARGO_BIN_EXE_merlinfold-lab")).args(arguments).output().unwrap()
 }
 
-/// Processes whose command line names this.
+/// Number of processes whose environment contains `what`.
 fn running(what: &str) -> usize {
     let folders = std::fs::read_dir("/proc").unwrap().flatten();
     let lines = folders.filter_map(|folder| std::fs::read(folder.path().join("environ")).ok());
     lines.filter(|line| String::from_utf8_lossy(line).contains(what)).count()
 }
 
-/// Guards clients on sockets that ask again as soon as they are answered, twice as many in the second round: what
-/// stands ready is used. The aim leaves room for a machine that does other things too.
+/// Closed-loop clients whose number doubles in the second round must not be refused while servers are idle. The aim is
+/// long enough for a machine with other load.
 #[test]
-fn clients_that_double_are_not_refused_beside_idle_servers() {
+fn doubled_closed_loop_clients_are_not_refused_while_servers_are_idle() {
     let arguments =
         ["closed", "--clients", "16", "--double", "--rounds", "2", "--requests", "2500", "--aim-ms", "2000"];
     let ended = lab(&arguments);
@@ -29,9 +29,9 @@
     assert_eq!(over.status.code(), Some(1));
 }
 
-/// Guards the machine that it runs on: whoever interrupts a run leaves no node behind.
+/// An interrupted run must leave no node process behind.
 #[test]
-fn an_interrupted_run_ends_all_that_it_started() {
+fn interrupted_run_ends_all_its_processes() {
     let folder = std::env::temp_dir().join(format!("merlinfold-interrupted-{}", std::process::id()));
     let name = folder.to_str().unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_merlinfold-lab"))
@@ -39,28 +39,28 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // Each node has its configuration's place in its environment.
+    // Each node has the path of its configuration in its environment.
     let configuration = format!("BALANCER_CONFIG={name}");
-    let patience = Instant::now() + Duration::from_secs(20);
+    let deadline = Instant::now() + Duration::from_secs(20);
     while running(&configuration) < 3 {
-        assert!(Instant::now() < patience, "the nodes were not started");
+        assert!(Instant::now() < deadline, "the nodes were not started");
         std::thread::sleep(Duration::from_millis(20));
     }
     let told = Command::new("sh").arg("-c").arg(format!("kill -INT {}", child.id())).status().unwrap();
     assert!(told.success());
     assert_eq!(child.wait().unwrap().code(), Some(1));
-    let mut says = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut says).unwrap();
-    assert!(says.contains("interrupted"), "{says}");
+    let mut stderr = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut stderr).unwrap();
+    assert!(stderr.contains("interrupted"), "{stderr}");
     while running(&configuration) > 0 {
-        assert!(Instant::now() < patience, "nodes were left running");
+        assert!(Instant::now() < deadline, "nodes were left running");
         std::thread::sleep(Duration::from_millis(20));
     }
     std::fs::remove_dir_all(PathBuf::from(name)).unwrap();
 }
 
 #[test]
-fn what_cannot_be_played_is_named_and_the_exit_code_tells() {
+fn invalid_arguments_are_named_and_set_the_exit_code() {
     for (arguments, code, says) in [
         (&["run", "no-such-day"][..], 1, "experiments that are kept: calm"),
         (&["run", "calm", "--node", "/no/such/program"], 1, "node 0"),
