--- a/crates/lab/tests/defects.rs
+++ b/crates/lab/tests/defects.rs
@@ -48,7 +48,11 @@
 }
 
 fn cold(experiment: &mut Experiment) {
-    experiment.disruptions.push(Disruption { at_s: 0.2, for_s: 0.5, ..trouble(DisruptionKind::Crash, 0.1, 1.0) });
+    experiment.disruptions.push(Disruption {
+        at_s: 0.2,
+        for_s: 0.5,
+        ..trouble(DisruptionKind::Crash, 0.1, 1.0)
+    });
     (experiment.discovery.late_ms, experiment.discovery.silent_late_ms) = (20.0, 20.0);
     for kind in &mut experiment.fleet.kinds {
         (kind.build.queue, kind.build.fall_ms, kind.build.ramp_s) = (200, 500.0, 30.0);
