--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -68,8 +68,13 @@
     fn same_seed_generates_identical_load_and_faults_and_another_seed_differs() {
         for (name, _) in BUILT_IN {
             let experiment = find(name).unwrap();
-            let text =
-                |seed| format!("{:?}{:?}", generate_requests(&experiment, Seed(seed)), timeline(&experiment, Seed(seed)));
+            let text = |seed| {
+                format!(
+                    "{:?}{:?}",
+                    generate_requests(&experiment, Seed(seed)),
+                    timeline(&experiment, Seed(seed))
+                )
+            };
             assert_eq!(text(7), text(7), "{name}");
             assert_ne!(text(7), text(8), "{name}");
         }
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -151,8 +151,9 @@
         clock.start();
         runner.servers.tick();
         wake.notify_one();
-        let limit =
-            Duration::from_nanos(runner.plan.experiment.duration() + 4 * runner.plan.experiment.max_deadline());
+        let limit = Duration::from_nanos(
+            runner.plan.experiment.duration() + 4 * runner.plan.experiment.max_deadline(),
+        );
         let mut look = interval(SAMPLE_INTERVAL);
         let end = tokio::time::sleep(limit + Duration::from_secs(10));
         tokio::pin!(end);
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -214,7 +214,9 @@
 
     /// Takes the records made so far.
     pub fn seen(&self) -> Seen {
-let mut state = self . lock ( ) ; let falls = state . fleet . servers ( ) . iter ( ) . enumerate ( ) . filter_map ( | ( n , s ) | s . overload_crash ( ) . map ( | f | ( n , f ) ) ) ;
+        let mut state = self.lock();
+        let falls =
+            state.fleet.servers().iter().enumerate().filter_map(|(n, s)| s.overload_crash().map(|f| (n, f)));
         let falls = falls.collect();
         let mut told = std::mem::take(&mut state.told);
         add_implied_notifications(
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -146,7 +146,9 @@
         clients_at: Nanos::MAX,
         fleet: Fleet::new(experiment, seed),
         clients: Clients::new(experiment, seed),
-        front: NodeBalancer::new((0..experiment.nodes.count).map(|node| experiment.zone_of_node(node)).collect()),
+        front: NodeBalancer::new(
+            (0..experiment.nodes.count).map(|node| experiment.zone_of_node(node)).collect(),
+        ),
         rng: seed.stream("front", 0),
         nodes: nodes?,
         tries: BTreeMap::new(),
@@ -173,7 +175,17 @@
     let mut ledger = sim.ledger;
     ledger.plans = sim.clients.plans().to_vec();
     let servers = sim.fleet.servers().iter().enumerate();
-ledger . overload_crashes = servers . filter_map ( | ( n , server ) | server . overload_crash ( ) . map ( | fall | ( n , fall ) ) ) . collect ( ) ; add_implied_notifications ( & mut ledger . notifications , sim . fleet . published_changes ( ) , experiment . nodes . count , ANNOUNCED_AFTER , & outages ( experiment , seed ) ) ; let mut report = build_report ( experiment , & ledger ) ; let breaches = report . add_violations ( experiment , & ledger ) ;
+    ledger.overload_crashes =
+        servers.filter_map(|(n, server)| server.overload_crash().map(|fall| (n, fall))).collect();
+    add_implied_notifications(
+        &mut ledger.notifications,
+        sim.fleet.published_changes(),
+        experiment.nodes.count,
+        ANNOUNCED_AFTER,
+        &outages(experiment, seed),
+    );
+    let mut report = build_report(experiment, &ledger);
+    let breaches = report.add_violations(experiment, &ledger);
     report.experiment = name.to_owned();
     report.nodes = "the decision module, in virtual time".to_owned();
     Ok((report, breaches))
@@ -311,7 +323,8 @@
         match effect {
             FleetEvent::Completed(_, done) => {
                 let Some(attempt) = self.attempts.get(&done.job) else { return };
-                if let Some(run) = attempt.run_index.and_then(|run_index| self.ledger.attempts.get_mut(run_index))
+                if let Some(run) =
+                    attempt.run_index.and_then(|run_index| self.ledger.attempts.get_mut(run_index))
                 {
                     (run.ended, run.executed, run.reply) = (Some(self.now), done.executed, Some(done.reply));
                 }
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -55,7 +55,7 @@
         let Some((class, work, expires)) = self.class_work_expiry(id) else { return };
         let told =
             self.nodes[node].since.get(&server).is_some_and(|&since| since >= self.fleet.started_at(server));
-        let arrival = Arrival { job, class, work, expires, new_connection: fresh: new_connection, notified_of_start: told };
+        let arrival = Arrival { job, class, work, expires, new_connection, notified_of_start: told };
         self.with_fleet(|fleet, now, out| fleet.receive_request(now, server, arrival, out));
     }
 
