--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -69,12 +69,12 @@
         if arrivals.random::<f64>() * peak > level.at(at as Nanos) {
             continue;
         }
-        let number = class.pick(&mut attributes);
-        let work_ms =
-            work[number].map_or(experiment.classes[number].work_ms, |work| work.sample(&mut attributes));
+        let class_index = class.pick(&mut attributes);
+        let work_ms = work[class_index]
+            .map_or(experiment.classes[class_index].work_ms, |work| work.sample(&mut attributes));
         plans.push(RequestPlan {
             at: at as Nanos,
-            class: number,
+            class: class_index,
             tenant: tenant.pick(&mut attributes),
             key: attributes.random_range(0..KEY_COUNT),
             work: millis(work_ms).max(1),
@@ -252,8 +252,8 @@
     /// Returns when the next try starts.
     pub fn next_due(&self) -> Option<Nanos> {
         let first = self.plans.get(self.next_request).map(|plan| plan.at);
-        let later = self.retries.peek().map(|&Reverse((at, ..))| at);
-        first.into_iter().chain(later).min()
+        let retry = self.retries.peek().map(|&Reverse((at, ..))| at);
+        first.into_iter().chain(retry).min()
     }
 
     /// Returns whether all tries have ended and none is scheduled.
--- a/crates/simulation/src/server.rs
+++ b/crates/simulation/src/server.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Whether a server accepts requests.
+/// The state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     /// The server accepts requests.
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Returns whether the server accepts requests.
+    /// Returns the state of the server.
     pub fn state(&self) -> ServerState {
         self.state
     }
