--- a/crates/cli/tests/common/member.rs
+++ b/crates/cli/tests/common/member.rs
@@ -1,5 +1,5 @@
-//! Processes of the program that take part in a fleet.
-#![allow(dead_code)] // each test file uses its part
+//! Runs node processes that are members of a fleet.
+#![allow(dead_code)] // each test file uses a part of this module
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -10,14 +10,14 @@
 
 use serde_json::{json, Value};
 
-use crate::common::{config, Client, Folder, PATIENCE};
+use crate::common::{config, Client, Folder, TIMEOUT};
 
-/// A free UDP address.
-pub fn datagrams() -> SocketAddr {
+/// Returns a free local UDP address.
+pub fn free_udp_address() -> SocketAddr {
     UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A process of the program that takes part in a fleet; it is killed when this is dropped.
+/// A node process that is a member of a fleet, killed on drop.
 pub struct Member {
     pub child: Child,
     pub address: SocketAddr,
@@ -30,14 +30,14 @@
         Self::start_as(folder, file, name, fleet, seed, config("127.0.0.1:9".parse().unwrap(), &[]))
     }
 
-    /// With a configuration of the platform's own; two that are given the same front share it.
+    /// Starts a member with this platform configuration. Two with the same `listen` address share it.
     pub fn start_as(
         folder: &Folder, file: &str, name: &str, fleet: SocketAddr, seed: SocketAddr, config: Value,
     ) -> Self {
         Self::start_with(folder, file, name, fleet, seed, config, "")
     }
 
-    /// With further tables of the product's configuration.
+    /// Starts a member with further tables in its `merlinfold.toml`.
     pub fn start_with(
         folder: &Folder, file: &str, name: &str, fleet: SocketAddr, seed: SocketAddr, mut config: Value,
         tables: &str,
@@ -46,23 +46,23 @@
         let shared = config["listen"] != "127.0.0.1:0";
         config["name"] = json!(name);
         config["console"] = json!(console);
-        let place = |ending: &str| folder.0.join(format!("{file}.{ending}"));
-        std::fs::write(place("json"), config.to_string()).unwrap();
+        let path = |extension: &str| folder.0.join(format!("{file}.{extension}"));
+        std::fs::write(path("json"), config.to_string()).unwrap();
         let table = format!(
             "[fleet]\ncluster = \"test\"\nlisten = \"{fleet}\"\nzone = \"a\"\nmachine = \"{file}\"\n\
              seeds = [\"{seed}\"]\nfolder = {:?}\n{tables}\n",
-            place("disk").display().to_string()
+            path("disk").display().to_string()
         );
-        std::fs::write(place("toml"), table).unwrap();
+        std::fs::write(path("toml"), table).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_merlinfold"));
-        command.args(["node", "--config"]).arg(place("toml"));
-        command.env("BALANCER_CONFIG", place("json")).env_remove("TMPDIR").stderr(Stdio::piped());
+        command.args(["node", "--config"]).arg(path("toml"));
+        command.env("BALANCER_CONFIG", path("json")).env_remove("TMPDIR").stderr(Stdio::piped());
         if shared {
             command.env("TMPDIR", &folder.0);
         }
         let mut child = command.spawn().unwrap();
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-        let serving = lines.find(|line| line.contains("serving")).expect("it serves");
+        let serving = lines.find(|line| line.contains("serving")).expect("the node did not start to serve");
         let address = serving.rsplit("address=").next().unwrap().trim().parse().unwrap();
         let log = Arc::new(Mutex::new(String::new()));
         let written = log.clone();
@@ -70,41 +70,41 @@
         Member { child, address, console, log }
     }
 
-    pub fn ask(&self, more: &[&str]) -> Output {
+    pub fn list_members(&self, options: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_merlinfold"));
         command
             .args(["fleet", "members", "--console", &self.console.to_string()])
-            .args(more)
+            .args(options)
             .output()
             .unwrap()
     }
 
     pub fn view(&self) -> Value {
-        let told = self.ask(&["--json"]);
-        serde_json::from_slice(&told.stdout).unwrap_or(Value::Null)
+        let output = self.list_members(&["--json"]);
+        serde_json::from_slice(&output.stdout).unwrap_or(Value::Null)
     }
 
-    /// Waits until its view is as wanted.
-    pub fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+    /// Waits until the view of this member satisfies the predicate.
+    pub fn wait_for(&self, expected: &str, satisfies: impl Fn(&Value) -> bool) -> Value {
         let begun = Instant::now();
         loop {
             let view = self.view();
-            if wanted(&view) {
+            if satisfies(&view) {
                 return view;
             }
-            assert!(begun.elapsed() < PATIENCE, "{what}: {view:#}\n{}", self.log.lock().unwrap());
+            assert!(begun.elapsed() < TIMEOUT, "{expected}: {view:#}\n{}", self.log.lock().unwrap());
         }
     }
 
     pub fn serves(&self) -> bool {
-        let mut front = Client::connect(self.address);
-        front.write("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        front.read().is_some_and(|answer| answer.status() == 200)
+        let mut client = Client::connect(self.address);
+        client.write("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        client.read().is_some_and(|answer| answer.status() == 200)
     }
 
     pub fn signal(&self, name: &str) {
-        let told = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(told.unwrap().success());
+        let status = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
+        assert!(status.unwrap().success());
     }
 }
 
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A node on loopback sockets, with servers and a discovery that do as a test says.
-#![allow(dead_code)] // each test file uses its part
+//! Runs a node on loopback sockets, with servers and a discovery whose answers a test sets.
+#![allow(dead_code)] // each test file uses a part of this module
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,22 +12,22 @@
 use serde_json::{json, Value};
 use tokio::sync::oneshot;
 
-/// Long beside anything that a test waits for, so that a wait that fails ends at all.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Bounds every wait of a test; far longer than any event that a test waits for.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A message as it was read: its first line, its headers in lower case, its body.
+/// An HTTP message as it was read. Header names are in lower case.
 #[derive(Clone, Debug)]
 pub struct Message {
-    pub start: String,
+    pub start_line: String,
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The next one on a connection; none at its end.
+    /// Reads the next message on a connection. Returns `None` at its end.
     fn read(from: &mut impl BufRead) -> Option<Self> {
-        let mut start = String::new();
-        from.read_line(&mut start).ok().filter(|&length| length > 0)?;
+        let mut start_line = String::new();
+        from.read_line(&mut start_line).ok().filter(|&length| length > 0)?;
         let mut headers = Vec::new();
         loop {
             let mut line = String::new();
@@ -35,7 +35,7 @@
             let Some((name, value)) = line.trim_end().split_once(':') else { break };
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
-        let mut message = Message { start: start.trim_end().to_owned(), headers, body: Vec::new() };
+        let mut message = Message { start_line: start_line.trim_end().to_owned(), headers, body: Vec::new() };
         message.body.resize(message.header("content-length").map_or(0, |n| n.parse().unwrap()), 0);
         from.read_exact(&mut message.body).ok()?;
         Some(message)
@@ -46,112 +46,114 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).expect("a status line").parse().expect("a status")
+        self.start_line.split(' ').nth(1).expect("a status line").parse().expect("a status")
     }
 }
 
-/// What a server does about a request.
-pub enum Then {
+/// How a server reacts to a request.
+pub enum Reply {
     Write(String),
     WriteAndClose(String),
-    /// Says nothing and waits for the other side to close.
+    /// Sends nothing and waits for the other side to close.
     Hang,
 }
 
-pub fn answer(status: u16, headers: &str, body: &str) -> String {
+pub fn response(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len())
 }
 
-/// What a server under a test has seen.
+/// An event at a server.
 #[derive(Debug)]
-pub enum Seen {
+pub enum ServerEvent {
     Connection,
     Request(Message),
-    /// The connection has ended, by either side.
-    End,
+    /// Either side has closed the connection.
+    Closed,
 }
 
-/// A server; tells what it sees in the order in which it happens.
+/// A server that reports its events in order.
 pub struct Server {
     pub address: SocketAddr,
-    pub seen: mpsc::Receiver<Seen>,
+    pub events: mpsc::Receiver<ServerEvent>,
 }
 
 impl Server {
-    pub fn start(behaviour: impl Fn(&Message) -> Then + Send + Sync + 'static) -> Self {
+    pub fn start(behaviour: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = mpsc::channel();
+        let (sender, events) = mpsc::channel();
         let behaviour = Arc::new(behaviour);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (tell, behaviour) = (tell.clone(), behaviour.clone());
-                thread::spawn(move || Self::serve(stream.unwrap(), &*behaviour, &tell));
+                let (sender, behaviour) = (sender.clone(), behaviour.clone());
+                thread::spawn(move || Self::serve(stream.unwrap(), &*behaviour, &sender));
             }
         });
-        Server { address, seen }
+        Server { address, events }
     }
 
-    fn serve(mut stream: TcpStream, behaviour: &dyn Fn(&Message) -> Then, tell: &mpsc::Sender<Seen>) {
-        let _ = tell.send(Seen::Connection);
+    fn serve(
+        mut stream: TcpStream, behaviour: &dyn Fn(&Message) -> Reply, sender: &mpsc::Sender<ServerEvent>,
+    ) {
+        let _ = sender.send(ServerEvent::Connection);
         let mut from = BufReader::new(stream.try_clone().unwrap());
         while let Some(message) = Message::read(&mut from) {
-            let _ = tell.send(Seen::Request(message.clone()));
+            let _ = sender.send(ServerEvent::Request(message.clone()));
             match behaviour(&message) {
-                Then::Write(text) => stream.write_all(text.as_bytes()).unwrap(),
-                Then::WriteAndClose(text) => {
+                Reply::Write(text) => stream.write_all(text.as_bytes()).unwrap(),
+                Reply::WriteAndClose(text) => {
                     stream.write_all(text.as_bytes()).unwrap();
                     stream.shutdown(Shutdown::Both).unwrap();
                 }
-                Then::Hang => {}
+                Reply::Hang => {}
             }
         }
-        let _ = tell.send(Seen::End);
+        let _ = sender.send(ServerEvent::Closed);
     }
 
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("something happens at the server")
+    pub fn next_event(&self) -> ServerEvent {
+        self.events.recv_timeout(TIMEOUT).expect("no event at the server")
     }
 
     pub fn next_request(&self) -> Message {
         loop {
-            if let Seen::Request(message) = self.next() {
+            if let ServerEvent::Request(message) = self.next_event() {
                 return message;
             }
         }
     }
 
-    pub fn wait_for_end(&self) {
-        while !matches!(self.next(), Seen::End) {}
+    pub fn wait_for_close(&self) {
+        while !matches!(self.next_event(), ServerEvent::Closed) {}
     }
 }
 
-/// A discovery that pushes whatever it is given; watches wait for it.
+/// A discovery whose answer the test sets. Watches wait until its version changes.
 #[derive(Clone)]
 pub struct Discovery(Arc<(Mutex<(u64, String)>, Condvar)>);
 
 impl Discovery {
     pub fn start(servers: &[(&str, SocketAddr)]) -> (Self, Server) {
-        let held = Discovery(Arc::new((Mutex::new((1, list(1, servers).to_string())), Condvar::new())));
-        let told = held.clone();
+        let source = Discovery(Arc::new((Mutex::new((1, list(1, servers).to_string())), Condvar::new())));
+        let shared = source.clone();
         let server = Server::start(move |request| {
-            let (lock, changed) = &*told.0;
-            let mut asked = request.start.split(['=', '&', ' ']).skip(2).step_by(2);
-            let had = asked.next().and_then(|index| index.parse().ok());
+            let (lock, changed) = &*shared.0;
+            let mut parameters = request.start_line.split(['=', '&', ' ']).skip(2).step_by(2);
+            let known = parameters.next().and_then(|index| index.parse().ok());
             let wait =
-                asked.next().and_then(|wait| wait.parse().ok()).map_or(PATIENCE, Duration::from_millis);
+                parameters.next().and_then(|wait| wait.parse().ok()).map_or(TIMEOUT, Duration::from_millis);
             let state = lock.lock().unwrap();
             let wait =
-                changed.wait_timeout_while(state, wait, |now| had.is_some_and(|had: u64| had >= now.0));
-            let (state, ended) = wait.unwrap();
+                changed.wait_timeout_while(state, wait, |now| known.is_some_and(|known: u64| known >= now.0));
+            let (state, waited) = wait.unwrap();
             let unchanged = json!({"index": state.0, "snapshot": false, "endpoints": []}).to_string();
-            Then::Write(answer(200, "", if ended.timed_out() { &unchanged } else { &state.1 }))
+            Reply::Write(response(200, "", if waited.timed_out() { &unchanged } else { &state.1 }))
         });
-        (held, server)
+        (source, server)
     }
 
-    /// The next list, or whatever else it is to answer.
-    pub fn tell(&self, index: u64, text: String) {
+    /// Sets the version and the text of the answers from now on, usually a list.
+    pub fn set_answer(&self, index: u64, text: String) {
         *self.0 .0.lock().unwrap() = (index, text);
         self.0 .1.notify_all();
     }
@@ -165,7 +167,7 @@
     json!({"index": index, "snapshot": true, "endpoints": servers.iter().map(line).collect::<Vec<_>>()})
 }
 
-/// A folder of a test's own, gone with it.
+/// A temporary folder for one test, deleted on drop.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -182,7 +184,7 @@
     }
 }
 
-/// The configuration of a node with a safe class `read` and an unsafe one `pay`.
+/// The configuration of a node with a class `read`, whose requests are safe to repeat, and a class `pay`, whose are not.
 pub fn config(discovery: SocketAddr, known: &[(&str, SocketAddr)]) -> Value {
     let class = |name, semantics| {
         json!({"Name": name, "Aim": 4_000_000_000u64, "GiveUp": 5_000_000_000u64, "Semantics": semantics,
@@ -197,84 +199,84 @@
             "Obligations": {"StopSendingWithin": 500_000_000, "RampTime": 1, "TipAfter": 1}}})
 }
 
-/// A node in a thread of its own.
-pub struct Running {
+/// A node that runs in its own thread.
+pub struct RunningNode {
     pub address: SocketAddr,
     console: Option<SocketAddr>,
     stop: Option<oneshot::Sender<()>>,
     thread: JoinHandle<()>,
 }
 
-impl Running {
+impl RunningNode {
     pub fn start(config: &Value) -> Self {
         Self::start_in(None, config)
     }
 
-    /// One that shares a folder with other processes of the same node.
+    /// Starts a node that shares this folder with other processes of the same node.
     pub fn start_in(folder: Option<&Path>, config: &Value) -> Self {
         let folder = folder.map(Path::to_owned);
         let config = Config::parse(&config.to_string()).unwrap();
         let (stop, stopped) = oneshot::channel();
-        let (tell, address) = mpsc::channel();
+        let (sender, address) = mpsc::channel();
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
                 let node = Node::bind(config, folder.as_deref()).await.unwrap();
-                tell.send((node.address().unwrap(), node.console_address())).unwrap();
+                sender.send((node.address().unwrap(), node.console_address())).unwrap();
                 node.run(async { stopped.await.unwrap_or(()) }).await;
             });
         });
-        let (address, console) = address.recv_timeout(PATIENCE).unwrap();
-        Running { address, console, stop: Some(stop), thread }
+        let (address, console) = address.recv_timeout(TIMEOUT).unwrap();
+        RunningNode { address, console, stop: Some(stop), thread }
     }
 
-    /// A caller's connection to the console.
-    pub fn caller(&self) -> Client {
-        Client::connect(self.console.expect("it has a console"))
+    /// Connects to the console.
+    pub fn console_client(&self) -> Client {
+        Client::connect(self.console.expect("the node has a console"))
     }
 
-    /// What the console answers to one call.
-    pub fn call(&self, method: &str, path: &str, body: &str) -> Message {
-        let mut caller = self.caller();
-        caller.write(&call(method, path, body));
-        caller.read().expect("an answer")
+    /// Makes one call to the console and returns its response.
+    pub fn call_console(&self, method: &str, path: &str, body: &str) -> Message {
+        let mut client = self.console_client();
+        client.write(&call(method, path, body));
+        client.read().expect("an answer")
     }
 
-    /// Waits until one of the node's figures has this value.
+    /// Waits until this metric has this value.
     pub fn wait_for(&self, name: &str, value: u64) {
         let begun = Instant::now();
-        while self.figure(name) != value {
-            assert!(begun.elapsed() < PATIENCE, "{name} never came to {value}");
+        while self.metric(name) != value {
+            assert!(begun.elapsed() < TIMEOUT, "metric {name} did not become {value}");
         }
     }
 
-    /// Waits until the node says that it can serve.
-    pub fn wait_until_it_serves(&self) {
+    /// Waits until `/status` reports that the node can serve.
+    pub fn wait_until_ready(&self) {
         let begun = Instant::now();
-        while self.call("GET", "/status", "").status() != 200 {
-            assert!(begun.elapsed() < PATIENCE, "it never served");
+        while self.call_console("GET", "/status", "").status() != 200 {
+            assert!(begun.elapsed() < TIMEOUT, "the node did not become ready");
         }
     }
 
-    /// One of the node's figures.
-    pub fn figure(&self, name: &str) -> u64 {
-        let figures = self.call("GET", "/status/metrics", "");
-        let text = String::from_utf8(figures.body).unwrap();
+    /// Reads one metric of the node.
+    pub fn metric(&self, name: &str) -> u64 {
+        let response = self.call_console("GET", "/status/metrics", "");
+        let text = String::from_utf8(response.body).unwrap();
         let value = |line: &str| line.strip_prefix(&format!("edge_balancer.{name}="))?.parse().ok();
         text.lines().find_map(value).unwrap_or_else(|| panic!("no {name} in {text}"))
     }
 
-    /// A node in front of these servers, all of which it knows from its start.
-    pub fn before(servers: &[(&str, SocketAddr)]) -> Self {
+    /// Starts a node in front of these servers, with all of them in its configuration.
+    pub fn in_front_of(servers: &[(&str, SocketAddr)]) -> Self {
         let (_, discovery) = Discovery::start(servers);
         Self::start(&config(discovery.address, servers))
     }
 
     pub fn stop(&mut self) {
-        self.stop.take().expect("it has not been stopped yet").send(()).unwrap();
+        self.stop.take().expect("the node has not been stopped yet").send(()).unwrap();
     }
 
-    /// Waits until the node has ended by itself.
+    /// Waits until the node has ended after a stop.
     pub fn join(self) {
         self.thread.join().unwrap();
     }
@@ -283,13 +285,13 @@
         Client::connect(self.address)
     }
 
-    /// The answer to one request on a connection of its own.
+    /// Sends one request on a new connection and returns the response.
     pub fn ask(&self, class: &str) -> Message {
         self.client().ask(class)
     }
 }
 
-/// A client's connection.
+/// A connection of a client.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
@@ -297,16 +299,16 @@
         Self::on(TcpStream::connect(to).unwrap())
     }
 
-    /// One on a connection that is open.
+    /// Wraps an open connection.
     pub fn on(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Client(BufReader::new(stream))
     }
 
-    /// The answer to one request on a connection of its own; none if the connection ends without.
-    pub fn try_ask(to: SocketAddr, class: &str) -> Option<Message> {
+    /// Sends one request on a new connection. Returns `None` if the connection ends without a response.
+    pub fn try_request(to: SocketAddr, class: &str) -> Option<Message> {
         let stream = TcpStream::connect(to).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(TIMEOUT)).ok()?;
         let mut client = Client(BufReader::new(stream));
         client.send(request(class, "X-Remaining-Ms: 4000\r\n", "ping").as_bytes());
         client.read()
@@ -316,7 +318,7 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Writes as much of it as the other side takes.
+    /// Writes the bytes; an error, as after a close by the other side, is ignored.
     pub fn send(&mut self, bytes: &[u8]) {
         let _ = self.0.get_mut().write_all(bytes);
     }
--- a/crates/cli/tests/common/process.rs
+++ b/crates/cli/tests/common/process.rs
@@ -1,5 +1,5 @@
-//! A node in a process of its own, as the platform runs it.
-#![allow(dead_code)] // each test file uses its part
+//! Runs a node as a separate process, as the platform does.
+#![allow(dead_code)] // each test file uses a part of this module
 
 use std::ffi::OsStr;
 use std::io::{BufRead, BufReader};
@@ -11,13 +11,13 @@
 
 use serde_json::Value;
 
-use crate::common::{Folder, PATIENCE};
+use crate::common::{Folder, TIMEOUT};
 
-/// Killed when it is dropped.
+/// A node process, killed on drop.
 pub struct NodeProcess {
     child: Child,
     pub address: SocketAddr,
-    /// Its configuration.
+    /// Path of its configuration file.
     pub file: PathBuf,
     _folder: Folder,
 }
@@ -27,7 +27,7 @@
         Self::start_with(name, config, &[])
     }
 
-    /// Started with these variables in its environment; its log goes on to the test's.
+    /// Starts a node with these environment variables. Its log is copied to the test's standard error.
     pub fn start_with(name: &str, config: &Value, environment: &[(&str, &OsStr)]) -> Self {
         let folder = Folder::new(name);
         let file = folder.0.join("config.json");
@@ -50,7 +50,7 @@
                 eprintln!("{line}");
             }
         });
-        let address = address.recv_timeout(PATIENCE).expect("the node serves");
+        let address = address.recv_timeout(TIMEOUT).expect("the node did not start to serve");
         NodeProcess { child, address, file, _folder: folder }
     }
 
@@ -60,7 +60,7 @@
         assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().unwrap().success());
     }
 
-    /// Waits for its end.
+    /// Waits until the process has ended.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Moments in which a signal, an answer, a close or a list comes between two steps of something else, forced over
-//! loopback sockets by what the other side has read or written.
+//! Races between a signal, a response, a close or a list and another operation, forced over loopback sockets by what the
+//! other side has read or written.
 
 mod common;
 
@@ -12,80 +12,81 @@
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 
-/// Bytes of an answer that does not fit into what its client's kernel takes unread, but into that and the node's.
+/// Length of a response in bytes: longer than the receive buffer of its client, shorter than that and the node's send
+/// buffer together.
 const LONG: usize = 160 << 10;
 
-fn ok() -> Then {
-    Then::Write(answer(200, "", "pong"))
+fn ok() -> Reply {
+    Reply::Write(response(200, "", "pong"))
 }
 
-/// A node's configuration with a console, so that a test can wait for what the node has noticed.
+/// Returns a node configuration with a console, through which a test can wait for a state of the node.
 fn with_console(discovery: SocketAddr, known: &[(&str, SocketAddr)]) -> Value {
     let mut config = config(discovery, known);
     config["console"] = "127.0.0.1:0".into();
     config
 }
 
-/// A server whose kernel takes no further connection until [`Full::relieve`]: a SYN that comes meanwhile is dropped, and
-/// its sender repeats it after a second.
-struct Full {
+/// A server whose accept queue is full until [`FullServer::accept_next`]: the kernel drops a SYN in the meantime, and the
+/// sender repeats it after a second.
+struct FullServer {
     listener: TcpListener,
     _filler: TcpStream,
 }
 
-impl Full {
+impl FullServer {
     fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        Full { listener, _filler: filler }
+        FullServer { listener, _filler: filler }
     }
 
     fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Waits until somebody is connecting, as the kernel tells it.
-    fn wait_for_a_syn(&self) {
+    /// Waits until the kernel lists a connection attempt to this server.
+    fn wait_for_syn(&self) {
         let (begun, to) = (Instant::now(), format!("0100007F:{:04X}", self.address().port()));
         let connecting = |line: &str| {
             let mut fields = line.split_whitespace().skip(2);
             fields.next() == Some(to.as_str()) && fields.next() == Some("02") // SYN_SENT
         };
         while !std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(connecting) {
-            assert!(begun.elapsed() < PATIENCE, "nobody connects");
+            assert!(begun.elapsed() < TIMEOUT, "no connection attempt");
         }
     }
 
-    /// Makes room, and returns the next connection that comes up.
-    fn relieve(&self) -> TcpStream {
+    /// Empties the accept queue and returns the next connection.
+    fn accept_next(&self) -> TcpStream {
         drop(self.listener.accept().unwrap());
         let (stream, _) = self.listener.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream
     }
 }
 
-/// Guards servers and the rule on clients that have left: a connection that comes up late for one who is gone carries
-/// nothing of theirs; what it brings is the next one's request.
+/// A connection that is established only after its client has left must not carry the request of that client; the next
+/// request may use it.
 #[test]
-fn a_connection_that_comes_up_after_its_client_has_left_carries_the_next_request() {
-    let full = Full::new();
-    let (_held, discovery) = Discovery::start(&[("s", full.address())]);
+fn a_connection_established_after_its_client_left_carries_the_next_request() {
+    let full = FullServer::new();
+    let (_list_source, discovery) = Discovery::start(&[("s", full.address())]);
     let mut config = with_console(discovery.address, &[("s", full.address())]);
     config["settings"]["Limits"]["ConnectTimeout"] = 4_000_000_000u64.into();
-    let node = Running::start(&config);
+    let node = RunningNode::start(&config);
     let mut leaver = node.client();
     leaver.write(&request("read", "X-Remaining-Ms: 4500\r\n", "of one who leaves"));
     node.wait_for("pending", 1);
     drop(leaver);
     node.wait_for("pending", 0);
-    let mut late = full.relieve();
+    let mut late = full.accept_next();
     let mut next = node.client();
     next.write(&request("read", "X-Remaining-Ms: 4500\r\n", "of the next"));
-    // It comes on this connection or on one opened beside it, and nothing else comes on either.
+    // The request arrives on this connection or on a second one, and nothing else arrives on this one.
     let mut seen = Vec::new();
     late.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     let mut buffer = [0; 4096];
@@ -96,16 +97,15 @@
         }
     }
     let seen = String::from_utf8(seen).unwrap();
-    assert!(!seen.contains("of one who leaves"), "sent on for a client that had left: {seen}");
+    assert!(!seen.contains("of one who leaves"), "sent for a client that had left: {seen}");
 }
 
-/// Guards the same where the client has sent more than its request: the bytes behind it hide its end from a reader that
-/// takes one message after the other.
+/// Bytes after the request hide the end of the stream from a reader that reads one message at a time.
 #[test]
-fn a_client_that_leaves_behind_more_than_its_request_has_left() {
-    let server = Server::start(|_| Then::Hang);
-    let (_held, discovery) = Discovery::start(&[("s", server.address)]);
-    let node = Running::start(&with_console(discovery.address, &[("s", server.address)]));
+fn a_client_that_sent_more_than_its_request_is_noticed_when_it_leaves() {
+    let server = Server::start(|_| Reply::Hang);
+    let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
+    let node = RunningNode::start(&with_console(discovery.address, &[("s", server.address)]));
     let mut leaver = node.client();
     leaver.write(&(request("read", "X-Remaining-Ms: 4500\r\n", "x") + "GET /rea"));
     server.next_request();
@@ -114,176 +114,175 @@
     node.wait_for("pending", 0);
     assert!(
         gone.elapsed() < Duration::from_secs(2),
-        "noticed only at its deadline, after {:?}",
+        "the close was noticed only at the deadline, after {:?}",
         gone.elapsed()
     );
 }
 
-/// Guards requests that are on their way when the node begins to close what rests: one of which a part has come is
-/// answered, with a close, and not cut off.
+/// A connection on which part of a request has arrived is not idle: it gets a response with `Connection: close`.
 #[test]
-fn half_a_request_that_has_come_when_a_stop_closes_what_rests_is_answered() {
+fn a_partly_received_request_is_answered_when_a_stop_closes_idle_connections() {
     let server = Server::start(|_| ok());
-    let mut node = Running::before(&[("s", server.address)]);
-    let (mut halved, mut resting) = (node.client(), node.client());
-    assert_eq!((halved.ask("read").status(), resting.ask("read").status()), (200, 200));
+    let mut node = RunningNode::in_front_of(&[("s", server.address)]);
+    let (mut partial, mut idle) = (node.client(), node.client());
+    assert_eq!((partial.ask("read").status(), idle.ask("read").status()), (200, 200));
     let text = request("read", "X-Remaining-Ms: 3000\r\n", "ping");
     let (first, second) = text.split_at(text.len() / 2);
-    halved.write(first);
+    partial.write(first);
     node.stop();
-    assert!(resting.read().is_none(), "what rests is closed");
-    halved.write(second);
-    let answer = halved.read().expect("an answer");
+    assert!(idle.read().is_none(), "an idle connection is closed");
+    partial.write(second);
+    let answer = partial.read().expect("a response");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    drop(halved);
+    drop(partial);
     node.join();
 }
 
-/// Guards answers: bytes that come behind a request whose answer says close do not turn the close into a reset, with
-/// which what the kernel has not yet sent of the answer would go.
+/// Unread bytes after a request would turn a close into a reset, which discards what the kernel has not yet sent of the
+/// response.
 #[test]
-fn a_close_over_unread_bytes_is_no_reset() {
+fn a_close_with_unread_bytes_does_not_reset_the_connection() {
     let (release, released) = mpsc::channel::<()>();
     let released = Mutex::new(released);
     let server = Server::start(move |_| {
-        released.lock().unwrap().recv_timeout(PATIENCE).unwrap();
-        Then::Write(answer(200, "", &"y".repeat(LONG)))
+        released.lock().unwrap().recv_timeout(TIMEOUT).unwrap();
+        Reply::Write(response(200, "", &"y".repeat(LONG)))
     });
-    let mut node = Running::before(&[("s", server.address)]);
+    let mut node = RunningNode::in_front_of(&[("s", server.address)]);
     let mut client = TcpStream::connect(node.address).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
-    let behind = "x".repeat(256 << 10); // more than is read ahead
+    client.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let behind = "x".repeat(256 << 10); // more than the node reads ahead
     std::io::Write::write_all(&mut client, request("read", "X-Remaining-Ms: 4500\r\n", "").as_bytes())
         .unwrap();
     server.next_request();
     std::io::Write::write_all(&mut client, behind.as_bytes()).unwrap();
     node.stop();
-    // The stop is known to the node once a new client is told to go.
+    // The node has noticed the stop once it tells a new client to close.
     let mut other = node.client();
     other.write("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    while other.read().expect("an answer").header("connection") != Some("close") {
+    while other.read().expect("a response").header("connection") != Some("close") {
         other = node.client();
         other.write("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     release.send(()).unwrap();
     drop(other);
-    node.join(); // whatever it does about the connection it has done
+    node.join(); // the node has finished with the connection
     let mut got = Vec::new();
-    client.read_to_end(&mut got).expect("an answer and an end, no reset");
-    assert_eq!(got.iter().filter(|&&byte| byte == b'y').count(), LONG, "bytes of the answer");
+    client.read_to_end(&mut got).expect("a response and an orderly close, no reset");
+    assert_eq!(got.iter().filter(|&&byte| byte == b'y').count(), LONG, "bytes of the response");
 }
 
-/// Guards requests that come after a stop: each has its final answer before the platform's kill may come, which counts
-/// no deadline as longer than 3 s.
+/// The platform counts no deadline as longer than 3 s when it kills a stopped node, so a later request needs its final
+/// response within that time.
 #[test]
-fn what_comes_after_a_stop_is_answered_before_a_kill_may_come() {
-    let server = Server::start(|request| if request.body == b"hang" { Then::Hang } else { ok() });
-    let mut node = Running::before(&[("s", server.address)]);
+fn a_request_after_a_stop_is_answered_before_the_platform_may_kill() {
+    let server = Server::start(|request| if request.body == b"hang" { Reply::Hang } else { ok() });
+    let mut node = RunningNode::in_front_of(&[("s", server.address)]);
     let mut client = node.client();
     assert_eq!(client.ask("read").status(), 200);
     let stopped = Instant::now();
     node.stop();
     while node.ask("read").header("connection") != Some("close") {}
     client.write(&request("read", "X-Remaining-Ms: 5000\r\n", "hang"));
-    let answer = client.read().expect("an answer");
+    let answer = client.read().expect("a response");
     assert!(matches!(answer.status(), 502 | 503), "{}", answer.status());
     assert!(stopped.elapsed() < Duration::from_millis(3_700), "answered after {:?}", stopped.elapsed());
     drop(client);
     node.join();
 }
 
-/// Guards a restart where lists are pushed: what the agent holds counts from a process's first moment, so those who come
-/// before its first word wait for that, and go where it says.
+/// After a restart with pushed lists, the list of the discovery agent applies from the first moment of the process. Early
+/// requests wait for it and are routed by it.
 #[test]
-fn who_comes_before_the_first_pushed_list_goes_where_that_list_says() {
+fn requests_before_the_first_pushed_list_wait_for_it() {
     let (old, new) = (Server::start(|_| ok()), Server::start(|_| ok()));
     let (asked, may_answer) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
     let (told, text) = ((asked.clone(), may_answer.clone()), list(2, &[("new", new.address)]).to_string());
     let discovery = Server::start(move |request| {
-        if request.start.contains("index=") {
-            return Then::Hang;
+        if request.start_line.contains("index=") {
+            return Reply::Hang;
         }
         told.0.wait();
         told.1.wait();
-        Then::Write(answer(200, "", &text))
+        Reply::Write(response(200, "", &text))
     });
-    let node = Running::start(&config(discovery.address, &[("old", old.address)]));
+    let node = RunningNode::start(&config(discovery.address, &[("old", old.address)]));
     asked.wait();
     let mut client = node.client();
     client.write(&request("read", "X-Remaining-Ms: 4500\r\n", ""));
     may_answer.wait();
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
     new.next_request();
-    assert!(old.seen.try_recv().is_err(), "it went where only the old file says");
+    assert!(old.events.try_recv().is_err(), "the request went to the server of the outdated configuration");
 }
 
-/// Guards readiness: an agent that says nothing holds nobody up for longer than a moment.
 #[test]
-fn an_agent_that_is_silent_at_a_start_does_not_keep_the_node_from_serving() {
+fn an_unresponsive_agent_does_not_delay_the_start_for_long() {
     let server = Server::start(|_| ok());
-    let discovery = Server::start(|_| Then::Hang);
+    let discovery = Server::start(|_| Reply::Hang);
     let begun = Instant::now();
-    let node = Running::start(&config(discovery.address, &[("s", server.address)]));
+    let node = RunningNode::start(&config(discovery.address, &[("s", server.address)]));
     assert_eq!(node.ask("read").status(), 200);
     assert!(begun.elapsed() < Duration::from_secs(3), "ready after {:?}", begun.elapsed());
 }
 
-/// Guards discovery and operators against a flood: idle clients that fill all their descriptors while discovery is down
-/// leave it, the console and the servers theirs, and what discovery says at its return is acted upon.
+/// Idle clients may use all the descriptors of clients while discovery is down. Discovery, the console and the servers have
+/// their own, and the first list after the outage is applied.
 #[test]
-fn idle_clients_that_fill_the_descriptors_do_not_blind_a_node_whose_discovery_is_down() {
+fn idle_clients_that_use_all_descriptors_do_not_block_discovery() {
     let (old, new) = (Server::start(|_| ok()), Server::start(|_| ok()));
-    let (held, discovery) = Discovery::start(&[("old", old.address)]);
-    held.tell(1, "no list".to_owned()); // it fails each call
+    let (list_source, discovery) = Discovery::start(&[("old", old.address)]);
+    list_source.set_answer(1, "no list".to_owned()); // each call fails
     let mut config = with_console(discovery.address, &[("old", old.address)]);
     config["limits"]["sockets"] = 64.into();
     config["settings"]["Discovery"] = "ask".into();
-    let node = Running::start(&config);
+    let node = RunningNode::start(&config);
     let mut worker = node.client();
     assert_eq!(worker.ask("read").status(), 200);
     let _idle: Vec<Client> = (0..64).map(|_| node.client()).collect();
     let filled = Instant::now();
-    held.tell(2, list(2, &[("new", new.address)]).to_string());
-    while node.call("GET", "/status/metrics", "").status() != 200 || node.figure("members") != 1 || {
-        new.seen.try_iter().count() == 0
+    list_source.set_answer(2, list(2, &[("new", new.address)]).to_string());
+    while node.call_console("GET", "/status/metrics", "").status() != 200 || node.metric("members") != 1 || {
+        new.events.try_iter().count() == 0
     } {
-        assert!(filled.elapsed() < PATIENCE, "discovery's word was not acted upon");
+        assert!(filled.elapsed() < TIMEOUT, "the new list was not applied");
         let mut client = node.client();
-        client.write(&request("read", "X-Remaining-Ms: 4500\r\n", "")); // waits until an idle one's time is over
+        client.write(&request("read", "X-Remaining-Ms: 4500\r\n", "")); // waits until an idle connection times out
         let _ = client.read();
     }
 }
 
-/// Guards the window in which a repeat is known: one whose connection comes up after it is not written any more.
+/// A server recognises a repeat only within the lifetime of its key. If the connection is established later, the repeat
+/// must not be written.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_sent() {
-    let full = Full::new();
+fn a_repeat_is_not_sent_after_its_idempotency_window() {
+    let full = FullServer::new();
     let (listed, may_break) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
     let told = (listed.clone(), may_break.clone());
     let breaks = Server::start(move |_| {
         told.0.wait();
         told.1.wait();
-        Then::WriteAndClose(String::new())
+        Reply::WriteAndClose(String::new())
     });
-    let (held, discovery) = Discovery::start(&[("breaks", breaks.address)]);
+    let (list_source, discovery) = Discovery::start(&[("breaks", breaks.address)]);
     let mut config = with_console(discovery.address, &[("breaks", breaks.address)]);
     config["settings"]["Limits"]["ConnectTimeout"] = 4_000_000_000u64.into();
     config["settings"]["Limits"]["MaxAttempts"] = 2.into();
     let class = &mut config["settings"]["Categories"][1];
     class["Semantics"] = "by_key".into();
     class["KeyTtl"] = 300_000_000u64.into();
-    let node = Running::start(&config);
+    let node = RunningNode::start(&config);
     let mut client = node.client();
     client.write(&request("pay", "X-Remaining-Ms: 4500\r\n", "once"));
     listed.wait();
-    held.tell(2, list(2, &[("breaks", breaks.address), ("full", full.address())]).to_string());
+    list_source.set_answer(2, list(2, &[("breaks", breaks.address), ("full", full.address())]).to_string());
     node.wait_for("members", 2);
     may_break.wait();
-    full.wait_for_a_syn();
-    let mut late = full.relieve(); // a second after the first SYN
+    full.wait_for_syn();
+    let mut late = full.accept_next(); // a second after the first SYN
     late.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     let mut buffer = [0; 64];
-    assert!(!matches!(late.read(&mut buffer), Ok(1..)), "written after its window");
-    let answer = client.read().expect("an answer");
-    assert_eq!(answer.status(), 503, "every server knows the repeat, so it may be asked for again");
+    assert!(!matches!(late.read(&mut buffer), Ok(1..)), "written after its idempotency window");
+    let answer = client.read().expect("a response");
+    assert_eq!(answer.status(), 503, "every server recognises the repeat, so the client may retry");
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Processes of the program that take part in a fleet, seen through its own command.
+//! Node processes of a fleet, as `merlinfold fleet` and the console show them.
 
 mod common;
 #[path = "common/member.rs"]
@@ -12,11 +12,11 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use member::{datagrams, Member};
+use member::{free_udp_address, Member};
 use serde_json::{json, Value};
 
-/// In which a node that was held gone would be seen to be.
-const SOON: Duration = Duration::from_secs(4);
+/// Time within which a wrong accusation of a node would show in the views of its peers.
+const ACCUSATION_TIME: Duration = Duration::from_secs(4);
 
 fn state_of<'a>(view: &'a Value, name: &str) -> &'a str {
     let members = view["members"].as_array().into_iter().flatten();
@@ -27,20 +27,20 @@
         .unwrap_or("unknown")
 }
 
-/// Guards what operators read: who is there, who left, who died, in a table and as JSON, and the figures.
+/// Operators see who is alive, left or dead in the table, in JSON and in the metrics.
 #[test]
-fn members_are_listed_with_what_became_of_them() {
+fn members_are_listed_with_their_state() {
     let folder = Folder::new("fleet-members");
-    let seed = datagrams();
+    let seed = free_udp_address();
     let one = Member::start(&folder, "one", "one", seed, seed);
-    let mut two = Member::start(&folder, "two", "two", datagrams(), seed);
-    let three = Member::start(&folder, "three", "three", datagrams(), seed);
+    let mut two = Member::start(&folder, "two", "two", free_udp_address(), seed);
+    let three = Member::start(&folder, "three", "three", free_udp_address(), seed);
     let alive = |count: u64| move |view: &Value| view["alive"] == count;
     for member in [&one, &two, &three] {
         let view = member.wait_for("all three are there", alive(3));
         assert_eq!((&view["schema"], &view["majority"]), (&json!(1), &json!(true)));
     }
-    let table = String::from_utf8(one.ask(&[]).stdout).unwrap();
+    let table = String::from_utf8(one.list_members(&[]).stdout).unwrap();
     assert!(
         table.starts_with("one: 3 of 3 alive, 0 suspect; hears most of the fleet\nzone a: 3 alive"),
         "{table}"
@@ -50,7 +50,7 @@
     one.wait_for("two has left", |view| state_of(view, "two") == "left");
     three.signal("KILL");
     let view = one.wait_for("three is dead", |view| state_of(view, "three") == "dead");
-    assert_eq!((&view["known"], &view["majority"]), (&json!(2), &json!(false)), "one of two is not most");
+    assert_eq!((&view["known"], &view["majority"]), (&json!(2), &json!(false)), "one of two is no majority");
     let mut console = Client::connect(one.console);
     console.write(&call("GET", "/status/metrics", ""));
     let figures = String::from_utf8(console.read().unwrap().body).unwrap();
@@ -58,20 +58,21 @@
         figures.contains("edge_balancer.fleet_members=1\n")
             && figures.contains("edge_balancer.fleet_majority=0\n")
     );
-    let back = Member::start(&folder, "three", "three", datagrams(), seed);
-    back.wait_for("it finds the fleet again", alive(2));
+    let back = Member::start(&folder, "three", "three", free_udp_address(), seed);
+    back.wait_for("it rejoins the fleet", alive(2));
     one.wait_for("and is there again, on another address", |view| state_of(view, "three") == "alive");
 }
 
-/// Guards a name that two processes have: the later start by its disk keeps it, the other says so and serves on.
+/// When two processes have one name, the later start according to their disk keeps it. The other logs this and continues
+/// to serve.
 #[test]
-fn of_two_processes_with_one_name_one_stands_down_and_serves_on() {
+fn of_two_processes_with_one_name_the_earlier_leaves_the_fleet_and_serves_on() {
     let folder = Folder::new("fleet-twins");
-    let seed = datagrams();
+    let seed = free_udp_address();
     let one = Member::start(&folder, "one", "one", seed, seed);
-    let old = Member::start(&folder, "twin", "twin", datagrams(), seed);
+    let old = Member::start(&folder, "twin", "twin", free_udp_address(), seed);
     old.wait_for("two are there", |view| view["alive"] == 2);
-    let new = Member::start(&folder, "twin", "twin", datagrams(), seed); // the same disk: a later start
+    let new = Member::start(&folder, "twin", "twin", free_udp_address(), seed); // a later start, by the same disk
     old.wait_for("the old one stands down", |view| view["takes_part"] == false);
     new.wait_for("the new one takes part", |view| view["takes_part"] == true && view["alive"] == 2);
     assert!(old.serves() && new.serves() && one.serves());
@@ -79,23 +80,23 @@
     assert_eq!(state_of(&one.wait_for("one name", |view| view["alive"] == 2), "twin"), "alive");
 }
 
-/// Guards an upgrade of a node that takes part in a fleet: both processes have its addresses for a while, so that the
-/// kernel deals what comes to one or the other. Clients are served, nobody holds the node dead, and the new one is it.
+/// During an upgrade both processes share the addresses of the node, and the kernel delivers each datagram to one of them.
+/// Clients are served, no peer declares the node dead, and the new process takes over as the member.
 #[test]
 fn an_upgrade_on_the_same_addresses_keeps_the_node_in_its_fleet() {
     const PEERS: usize = 4;
-    let server = Server::start(|_| Then::Write(answer(200, "", "pong")));
+    let server = Server::start(|_| Reply::Write(response(200, "", "pong")));
     let known = [("s", server.address)];
-    let (_told, discovery) = Discovery::start(&known);
+    let (_list_source, discovery) = Discovery::start(&known);
     let folder = Folder::new("fleet-upgrade");
-    let seed = datagrams();
+    let seed = free_udp_address();
     let first = Member::start(&folder, "p0", "p0", seed, seed);
-    let others =
-        (1..PEERS).map(|n| Member::start(&folder, &format!("p{n}"), &format!("p{n}"), datagrams(), seed));
+    let others = (1..PEERS)
+        .map(|n| Member::start(&folder, &format!("p{n}"), &format!("p{n}"), free_udp_address(), seed));
     let peers: Vec<Member> = [first].into_iter().chain(others).collect();
     let mut shared = config(discovery.address, &known);
     shared["listen"] = json!(TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap());
-    let own = datagrams();
+    let own = free_udp_address();
     let start = || Member::start_as(&folder, "up", "up", own, seed, shared.clone());
     let mut old = start();
     for member in peers.iter().chain([&old]) {
@@ -105,17 +106,17 @@
     let done = Arc::new(AtomicBool::new(false));
     let over = done.clone();
     let asking = thread::spawn(move || {
-        let (mut served, mut turned_back) = (0, 0);
+        let (mut served, mut reset) = (0, 0);
         while !over.load(Ordering::Relaxed) {
-            match Client::try_ask(front, "read") {
+            match Client::try_request(front, "read") {
                 Some(answer) => {
                     assert_eq!(answer.status(), 200);
                     served += 1;
                 }
-                None => turned_back += 1, // the moment in which a listener closes
+                None => reset += 1, // a listener closed during the handshake
             }
         }
-        (served, turned_back)
+        (served, reset)
     });
     let before = old.view()["run"].as_u64();
     let new = start();
@@ -123,9 +124,9 @@
     old.signal("TERM");
     assert!(old.child.wait().unwrap().success());
     assert!(new.view()["run"].as_u64() > before, "a later start");
-    // Whoever had thought it gone would say so by now or soon: an accusation takes seconds at most.
+    // A peer that suspected the node wrongly would declare it dead within this time.
     let begun = Instant::now();
-    while begun.elapsed() < SOON {
+    while begun.elapsed() < ACCUSATION_TIME {
         for peer in &peers {
             let view = peer.view();
             let is = state_of(&view, "up");
@@ -136,18 +137,18 @@
         member.wait_for("all are there still", |view| view["alive"] == PEERS + 1);
     }
     done.store(true, Ordering::Relaxed);
-    let (served, turned_back) = asking.join().unwrap();
-    assert!(served > 0 && turned_back <= 1, "{served} served, {turned_back} turned back");
+    let (served, reset) = asking.join().unwrap();
+    assert!(served > 0 && reset <= 1, "{served} served, {reset} reset");
 }
 
 #[test]
-fn a_node_without_a_fleet_and_a_fault_in_its_table_are_named() {
+fn a_missing_fleet_and_an_invalid_fleet_table_are_reported() {
     let folder = Folder::new("fleet-none");
-    let (_told, discovery) = Discovery::start(&[]);
+    let (_list_source, discovery) = Discovery::start(&[]);
     let mut config = config(discovery.address, &[]);
     config["console"] = json!("127.0.0.1:0");
-    let running = Running::start(&config);
-    let answer = running.call("GET", "/fleet/members", "");
+    let running = RunningNode::start(&config);
+    let answer = running.call_console("GET", "/fleet/members", "");
     assert_eq!(answer.status(), 404);
     assert!(String::from_utf8(answer.body).unwrap().contains("no [fleet]"));
     let toml = folder.0.join("bad.toml");
@@ -158,10 +159,10 @@
     };
     let path = toml.to_str().unwrap();
     for arguments in [&["check", path][..], &["node", "--config", path]] {
-        let (code, says) = merlinfold(arguments);
+        let (code, stderr) = merlinfold(arguments);
         assert_eq!(code, Some(1));
-        assert!(says.contains("bad.toml:3: fleet.listen"), "{says}");
+        assert!(stderr.contains("bad.toml:3: fleet.listen"), "{stderr}");
     }
-    let (code, says) = merlinfold(&["fleet", "members", "--console", "127.0.0.1:9"]);
-    assert!(code == Some(1) && says.contains("127.0.0.1:9"), "{says}");
+    let (code, stderr) = merlinfold(&["fleet", "members", "--console", "127.0.0.1:9"]);
+    assert!(code == Some(1) && stderr.contains("127.0.0.1:9"), "{stderr}");
 }
--- a/crates/cli/tests/list_faults.rs
+++ b/crates/cli/tests/list_faults.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{answer, config};
+use common::{config, response};
 use process::NodeProcess;
 use serde_json::json;
 
@@ -65,7 +65,7 @@
         let endpoint = json!({"name": "s", "address": "127.0.0.1:9", "zone": "a", "type": "k", "group": 0,
                               "status": status, "weight": 1.0, "since_ms": 0});
         let list = json!({"index": index, "snapshot": false, "endpoints": [endpoint]});
-        self.stream.write_all(answer(200, "", &list.to_string()).as_bytes())
+        self.stream.write_all(response(200, "", &list.to_string()).as_bytes())
     }
 }
 
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! The real node, over loopback sockets.
+//! A whole node over loopback sockets: requests, connections, discovery, signals.
 
 mod common;
 
@@ -11,15 +11,15 @@
 
 use common::*;
 
-fn ok() -> Then {
-    Then::Write(answer(200, "", "pong"))
+fn ok() -> Reply {
+    Reply::Write(response(200, "", "pong"))
 }
 
-/// Guards what must go on unchanged both ways, and that framing is stated anew.
+/// The node forwards path, body and end-to-end headers, drops hop-by-hop headers and sets the framing itself.
 #[test]
-fn a_request_and_its_answer_pass_unchanged() {
-    let server = Server::start(|_| Then::Write(answer(200, "Content-Type: text/odd\r\n", "p\0ng")));
-    let node = Running::before(&[("s", server.address)]);
+fn a_request_and_its_response_pass_unchanged() {
+    let server = Server::start(|_| Reply::Write(response(200, "Content-Type: text/odd\r\n", "p\0ng")));
+    let node = RunningNode::in_front_of(&[("s", server.address)]);
     let mut client = node.client();
     let extra = "Idempotency-Key: 5c0f\r\nConnection: keep-alive, X-Hop, X-Txn\r\nX-Hop: 1\r\nX-Remaining-Ms: 900\r\n";
     client.write(&request("read", extra, "a\0b"));
@@ -28,206 +28,212 @@
     assert_eq!(answer.header("content-type"), Some("text/odd"));
     let seen = server.next_request();
     assert_eq!(
-        (seen.start.as_str(), seen.body.as_slice()),
+        (seen.start_line.as_str(), seen.body.as_slice()),
         ("POST /read?sid=7f3a HTTP/1.1", b"a\0b".as_slice())
     );
     assert_eq!(seen.header("x-txn"), Some("9b1f03aa5c7e2d41"));
     assert_eq!(seen.header("idempotency-key"), Some("5c0f"));
-    assert_eq!(seen.header("x-hop"), None, "a hop's own header was passed on");
+    assert_eq!(seen.header("x-hop"), None, "a hop-by-hop header was forwarded");
     let left: u64 = seen.header("x-remaining-ms").unwrap().parse().unwrap();
-    assert!(left < 900, "the node does not wait longer than its client: {left}");
+    assert!(left < 900, "the remaining time was not reduced: {left} ms");
 }
 
-/// Guards the table of outcomes: what may have run is failed, what never ran is refused.
+/// A request that may have run must count as failed (502), not as refused (503), which invites a repeat.
 #[test]
-fn only_proof_that_an_unsafe_request_never_ran_lets_it_be_refused() {
+fn an_unsafe_request_is_refused_only_if_it_certainly_never_ran() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let refusing = Running::before(&[("s", closed)]).ask("pay");
-    assert_eq!(refusing.status(), 503, "nobody listens: it never ran");
-    let advice: f64 = refusing.header("retry-after").expect("the module's advice").parse().expect("seconds");
-    assert!((0.001..=1.5).contains(&advice), "{advice} s where clients heed 1.5 at most");
+    let refusing = RunningNode::in_front_of(&[("s", closed)]).ask("pay");
+    assert_eq!(refusing.status(), 503, "nothing listens, so the request never ran");
+    let advice: f64 = refusing.header("retry-after").expect("a Retry-After header").parse().expect("seconds");
+    assert!((0.001..=1.5).contains(&advice), "{advice} s, expected at most 1.5 s (MaxRetryAfter)");
 
-    type Case = (&'static str, u16, fn() -> Then);
+    type Case = (&'static str, u16, fn() -> Reply);
     let cases: [Case; 6] = [
-        ("turned away", 503, || Then::Write(answer(504, "X-Turned-Away: 1\r\n", ""))),
-        ("503 that promises nothing", 502, || Then::Write(answer(503, "", ""))),
-        ("error", 502, || Then::Write(answer(500, "X-Turned-Away: 1\r\n", ""))),
-        ("reset", 502, || Then::WriteAndClose(String::new())),
-        ("cut head", 502, || Then::WriteAndClose("HTTP/1.1 200 x\r\nContent-Le".to_owned())),
+        ("turned away", 503, || Reply::Write(response(504, "X-Turned-Away: 1\r\n", ""))),
+        ("503 that promises nothing", 502, || Reply::Write(response(503, "", ""))),
+        ("error", 502, || Reply::Write(response(500, "X-Turned-Away: 1\r\n", ""))),
+        ("reset", 502, || Reply::WriteAndClose(String::new())),
+        ("cut head", 502, || Reply::WriteAndClose("HTTP/1.1 200 x\r\nContent-Le".to_owned())),
         ("cut body", 502, || {
-            Then::WriteAndClose("HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf".to_owned())
+            Reply::WriteAndClose("HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf".to_owned())
         }),
     ];
     for (name, status, then) in cases {
         let server = Server::start(move |_| then());
-        let answer = Running::before(&[("s", server.address)]).ask("pay");
+        let answer = RunningNode::in_front_of(&[("s", server.address)]).ask("pay");
         assert_eq!(answer.status(), status, "{name}");
     }
 }
 
-/// Guards that a bad load report is ignored and its answer counts all the same.
+/// A load report that cannot be parsed is ignored; the response that carries it still counts.
 #[test]
-fn a_bad_load_report_spoils_no_answer() {
-    let server = Server::start(|_| Then::Write(answer(200, "X-Pressure: TEXT inflight=é, =;\r\n", "pong")));
-    let node = Running::before(&[("s", server.address)]);
+fn a_malformed_load_report_does_not_affect_its_response() {
+    let server =
+        Server::start(|_| Reply::Write(response(200, "X-Pressure: TEXT inflight=é, =;\r\n", "pong")));
+    let node = RunningNode::in_front_of(&[("s", server.address)]);
     assert_eq!(node.ask("read").status(), 200);
     assert_eq!(node.ask("read").status(), 200);
 }
 
-/// Guards the deadline: one answer before the client's time is up, and the attempt's connection is
-/// closed, so that its late end can send nothing more.
+/// The client gets a response before its deadline. The connection of the attempt is closed, so that a late response on it
+/// cannot be taken for that of the next request.
 #[test]
-fn a_silent_server_costs_one_failure_and_its_connection() {
+fn a_server_that_does_not_answer_costs_one_failure_and_its_connection() {
     let server = Server::start(|request| match request.header("x-remaining-ms").unwrap().parse::<u32>() {
-        Ok(..1_000) => Then::Hang,
+        Ok(..1_000) => Reply::Hang,
         _ => ok(),
     });
-    let node = Running::before(&[("s", server.address)]);
+    let node = RunningNode::in_front_of(&[("s", server.address)]);
     let mut client = node.client();
     client.write(&request("pay", "X-Remaining-Ms: 900\r\n", ""));
     assert_eq!(client.read().unwrap().status(), 502);
-    server.wait_for_end();
-    assert_eq!(client.ask("pay").status(), 200, "the next answer is that of the next request");
+    server.wait_for_close();
+    assert_eq!(client.ask("pay").status(), 200, "the next response belongs to the next request");
 }
 
-/// Guards the table of requests: one whose client has left is over, and takes no room.
+/// A request whose client has left must end, or it would hold a slot of the open requests.
 #[test]
-fn a_client_that_leaves_leaves_nothing_behind() {
-    let server = Server::start(|request| if request.body.is_empty() { Then::Hang } else { ok() });
-    let (_held, discovery) = Discovery::start(&[("s", server.address)]);
+fn a_request_whose_client_has_left_frees_its_slot() {
+    let server = Server::start(|request| if request.body.is_empty() { Reply::Hang } else { ok() });
+    let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let mut config = config(discovery.address, &[("s", server.address)]);
     config["settings"]["Limits"]["OpenCap"] = 1.into();
-    let node = Running::start(&config);
+    let node = RunningNode::start(&config);
     let mut leaver = node.client();
     leaver.write(&request("read", "X-Remaining-Ms: 900\r\n", ""));
     server.next_request();
-    assert_eq!(node.ask("read").status(), 503, "one may be open, and one is");
+    assert_eq!(node.ask("read").status(), 503, "the limit of one open request is reached");
     drop(leaver);
-    server.wait_for_end();
+    server.wait_for_close();
     assert_eq!(node.ask("read").status(), 200);
 }
 
-/// Guards the pool: a connection is kept and used again.
 #[test]
-fn requests_share_a_connection_one_after_the_other() {
+fn successive_requests_reuse_one_connection() {
     let server = Server::start(|_| ok());
-    let node = Running::before(&[("s", server.address)]);
+    let node = RunningNode::in_front_of(&[("s", server.address)]);
     (0..5).for_each(|_| assert_eq!(node.ask("pay").status(), 200));
-    let seen: Vec<Seen> = server.seen.try_iter().collect();
-    assert_eq!(seen.iter().filter(|seen| matches!(seen, Seen::Connection)).count(), 1, "{seen:?}");
+    let seen: Vec<ServerEvent> = server.events.try_iter().collect();
+    assert_eq!(seen.iter().filter(|seen| matches!(seen, ServerEvent::Connection)).count(), 1, "{seen:?}");
 }
 
-/// Guards the pool: what was closed or holds bytes that nobody asked for is not used again; an unsafe
+/// A connection that the server has closed, or on which it sent bytes without a request, must not be reused: an unsafe
 /// request sent there would be lost to a reset.
 #[test]
-fn a_connection_that_ended_or_was_written_to_is_not_used_again() {
-    let closing = Server::start(|_| Then::WriteAndClose(answer(200, "", "pong")));
+fn a_connection_that_ended_or_has_unexpected_bytes_is_not_reused() {
+    let closing = Server::start(|_| Reply::WriteAndClose(response(200, "", "pong")));
     let chatty = Server::start(|_| {
-        Then::Write(answer(200, "", "pong") + "HTTP/1.1 200 x\r\nContent-Length: 4\r\n\r\nevil")
+        Reply::Write(response(200, "", "pong") + "HTTP/1.1 200 x\r\nContent-Length: 4\r\n\r\nevil")
     });
     for server in [closing, chatty] {
-        let node = Running::before(&[("s", server.address)]);
+        let node = RunningNode::in_front_of(&[("s", server.address)]);
         for _ in 0..5 {
             let answer = node.ask("pay");
             assert_eq!((answer.status(), answer.body.as_slice()), (200, b"pong".as_slice()));
-            server.wait_for_end(); // or the next request could cross the closing
+            server.wait_for_close(); // the next request could otherwise race with the close
         }
     }
 }
 
-/// Guards the pool: retired before the server's idle timeout, not at it.
+/// Closing an idle connection only at the server's idle timeout would race with the server.
 #[test]
 fn an_idle_connection_is_retired_before_its_server_would_close_it() {
     let server = Server::start(|_| ok());
-    let (_held, discovery) = Discovery::start(&[("s", server.address)]);
+    let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let mut config = config(discovery.address, &[("s", server.address)]);
     config["settings"]["Limits"]["ConnIdle"] = 100_000_000.into();
-    let node = Running::start(&config);
+    let node = RunningNode::start(&config);
     assert_eq!(node.ask("pay").status(), 200);
-    server.wait_for_end();
+    server.wait_for_close();
     assert_eq!(node.ask("pay").status(), 200);
 }
 
-/// Guards the watch: it names the version it has, a whole list replaces the one before, and what
-/// cannot be read is asked for again.
+/// A watch names the version that the node has, a whole list replaces the previous one, and the node fetches the list
+/// again after an answer that it cannot read.
 #[test]
-fn a_new_list_moves_the_work_and_a_bad_one_is_asked_for_again() {
-    let old = Server::start(|_| Then::Write(answer(200, "", "old")));
-    let new = Server::start(|_| Then::Write(answer(200, "", "new")));
-    let (held, discovery) = Discovery::start(&[("old", old.address)]);
-    let node = Running::start(&config(discovery.address, &[("old", old.address)]));
+fn a_new_list_moves_requests_and_an_invalid_one_is_fetched_again() {
+    let old = Server::start(|_| Reply::Write(response(200, "", "old")));
+    let new = Server::start(|_| Reply::Write(response(200, "", "new")));
+    let (list_source, discovery) = Discovery::start(&[("old", old.address)]);
+    let node = RunningNode::start(&config(discovery.address, &[("old", old.address)]));
     assert_eq!(node.ask("read").body, b"old");
-    assert_eq!(discovery.next_request().start, "GET /registry/instances HTTP/1.1");
-    assert!(discovery.next_request().start.starts_with("GET /registry/instances?index=1&wait="));
-    held.tell(2, r#"{"index":2,"snapshot":true,"endpoints":[{"name":"x","address":"nowhere"}]}"#.to_owned());
-    assert_eq!(discovery.next_request().start, "GET /registry/instances HTTP/1.1", "a new watch begins");
-    held.tell(3, list(3, &[("new", new.address)]).to_string());
-    while !discovery.next_request().start.contains("index=3") {}
+    assert_eq!(discovery.next_request().start_line, "GET /registry/instances HTTP/1.1");
+    assert!(discovery.next_request().start_line.starts_with("GET /registry/instances?index=1&wait="));
+    list_source.set_answer(
+        2,
+        r#"{"index":2,"snapshot":true,"endpoints":[{"name":"x","address":"nowhere"}]}"#.to_owned(),
+    );
+    assert_eq!(discovery.next_request().start_line, "GET /registry/instances HTTP/1.1", "a new watch begins");
+    list_source.set_answer(3, list(3, &[("new", new.address)]).to_string());
+    while !discovery.next_request().start_line.contains("index=3") {}
     assert_eq!(node.ask("read").body, b"new");
 }
 
-/// Guards drains: what a silent watch hides counts as told 6 s after it fell silent. The node breaks the watch and asks
-/// for what it missed on a new connection, with time to spare.
+/// A change that an unanswered watch hides takes effect 6 s after the watch fell silent. Before that, the node must close
+/// the watch and ask for the missed changes on a new connection.
 #[test]
-fn a_silent_watch_is_broken_and_what_it_missed_is_asked_for() {
+fn a_watch_without_an_answer_is_closed_and_missed_changes_are_fetched() {
     let (old, new) = (Server::start(|_| ok()), Server::start(|_| ok()));
     let (first, second) = (list(1, &[("old", old.address)]), list(2, &[("new", new.address)]));
     let silent = AtomicUsize::new(0);
-    let discovery = Server::start(move |request| match &request.start {
-        start if start.contains("index=2") => Then::Hang,
-        start if start.contains("index=1&wait=0") => Then::Write(answer(200, "", &second.to_string())),
+    let discovery = Server::start(move |request| match &request.start_line {
+        start if start.contains("index=2") => Reply::Hang,
+        start if start.contains("index=1&wait=0") => Reply::Write(response(200, "", &second.to_string())),
         start if start.contains("index=1") => {
             silent.fetch_add(1, Ordering::Relaxed);
-            Then::Hang
+            Reply::Hang
         }
-        _ => Then::Write(answer(200, "", &first.to_string())),
+        _ => Reply::Write(response(200, "", &first.to_string())),
     });
-    let node = Running::start(&config(discovery.address, &[("old", old.address)]));
-    while !discovery.next_request().start.contains("index=1&wait=2000") {}
+    let node = RunningNode::start(&config(discovery.address, &[("old", old.address)]));
+    while !discovery.next_request().start_line.contains("index=1&wait=2000") {}
     let begun = std::time::Instant::now();
-    assert!(discovery.next_request().start.contains("index=1&wait=0"), "only what was missed");
-    while !discovery.next_request().start.contains("index=2") {}
+    assert!(
+        discovery.next_request().start_line.contains("index=1&wait=0"),
+        "the node asks only for the missed changes"
+    );
+    while !discovery.next_request().start_line.contains("index=2") {}
     assert!(begun.elapsed() < Duration::from_millis(5_000), "{:?} of 6 s", begun.elapsed());
     assert_eq!(node.ask("read").status(), 200);
     new.next_request();
 }
 
-/// Guards drains: what discovery writes counts as told, also on a call that the node has given up.
+/// A drain takes effect once discovery has written it, also on a call that the node has given up.
 #[test]
-fn an_answer_that_comes_after_its_call_was_given_up_is_heard() {
+fn an_answer_that_arrives_after_its_call_was_given_up_is_applied() {
     let (old, new) = (Server::start(|_| ok()), Server::start(|_| ok()));
     let (first, second) = (list(1, &[("old", old.address)]), list(2, &[("new", new.address)]));
     let (late, given_up) = (mpsc::channel::<()>(), mpsc::channel::<()>());
     let (late, given_up) = ((Mutex::new(late.0), Mutex::new(late.1)), given_up);
     let (tell, told) = (Mutex::new(given_up.0), given_up.1);
-    let discovery = Server::start(move |request| match &request.start {
-        start if start.contains("index=2") => Then::Hang,
+    let discovery = Server::start(move |request| match &request.start_line {
+        start if start.contains("index=2") => Reply::Hang,
         start if start.contains("index=1&wait=0") => {
-            // The call for what the watch missed: the watch is answered now, and this call never.
+            // This is the call for missed changes: it gets no answer, and the watch is answered now.
             late.0.lock().unwrap().send(()).unwrap();
-            Then::Hang
+            Reply::Hang
         }
         start if start.contains("index=1") => {
-            late.1.lock().unwrap().recv_timeout(PATIENCE).unwrap();
+            late.1.lock().unwrap().recv_timeout(TIMEOUT).unwrap();
             tell.lock().unwrap().send(()).unwrap();
-            Then::Write(answer(200, "", &second.to_string()))
+            Reply::Write(response(200, "", &second.to_string()))
         }
-        _ => Then::Write(answer(200, "", &first.to_string())),
+        _ => Reply::Write(response(200, "", &first.to_string())),
     });
-    let node = Running::start(&config(discovery.address, &[("old", old.address)]));
-    told.recv_timeout(PATIENCE).unwrap();
+    let node = RunningNode::start(&config(discovery.address, &[("old", old.address)]));
+    told.recv_timeout(TIMEOUT).unwrap();
     let begun = std::time::Instant::now();
-    // No other call brings the new server: the late answer alone does.
-    while node.ask("read").status() != 200 || new.seen.try_iter().count() == 0 {
-        assert!(begun.elapsed() < Duration::from_millis(1_000), "the late answer was not heard");
+    // Only the late answer contains the new server.
+    while node.ask("read").status() != 200 || new.events.try_iter().count() == 0 {
+        assert!(begun.elapsed() < Duration::from_millis(1_000), "the late answer was not applied");
     }
 }
 
-/// Guards that nobody's input ends the node or is taken for a request.
+/// Invalid input must neither end the node nor be forwarded as a request.
 #[test]
-fn bad_input_is_answered_in_kind_and_the_node_goes_on() {
+fn invalid_requests_get_an_error_status_and_the_node_goes_on() {
     let server = Server::start(|_| ok());
-    let node = Running::before(&[("s", server.address)]);
+    let node = RunningNode::in_front_of(&[("s", server.address)]);
     let good = request("read", "", "x");
     let cases = [
         (good.replace("X-Txn: 9b1f03aa5c7e2d41\r\n", ""), 400),
@@ -244,30 +250,30 @@
     for (text, status) in cases {
         let mut client = node.client();
         client.write(&text);
-        assert_eq!(client.read().expect("an answer").status(), status, "{}", &text[..text.len().min(200)]);
+        assert_eq!(client.read().expect("a response").status(), status, "{}", &text[..text.len().min(200)]);
     }
 }
 
-/// Guards the accept loop: more clients than the node may hold wait, and end nothing.
+/// More clients than the socket limit admits must wait to be accepted, and the accept loop must go on.
 #[test]
-fn clients_beyond_the_limit_wait_for_room() {
+fn clients_beyond_the_socket_limit_wait_and_are_served() {
     let server = Server::start(|_| ok());
-    let (_held, discovery) = Discovery::start(&[("s", server.address)]);
+    let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let mut config = config(discovery.address, &[("s", server.address)]);
     config["limits"]["sockets"] = 64.into();
-    let node = Running::start(&config);
+    let node = RunningNode::start(&config);
     let mut clients: Vec<Client> = (0..40).map(|_| node.client()).collect();
-    // Each is asked to go after its answer, since there are few to spare; so all get their turn.
+    // Few descriptors are left, so each client is told to close after its response, which makes room for the next.
     for client in &mut clients {
         let answer = client.ask("read");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
 }
 
-/// Guards the planned restart: what was taken is answered, clients still come in for a while, all are
-/// told to go, and the node ends by itself.
+/// During a planned restart, accepted requests are answered, new clients are still served for a while, all connections are
+/// told to close, and the node then ends.
 #[test]
-fn a_stop_answers_all_that_was_taken_and_then_ends() {
+fn a_stop_answers_all_accepted_requests_and_then_ends_the_node() {
     let (release, released) = std::sync::mpsc::channel();
     let released = std::sync::Mutex::new(released);
     let server = Server::start(move |request| {
@@ -276,13 +282,13 @@
         }
         ok()
     });
-    let mut node = Running::before(&[("s", server.address)]);
+    let mut node = RunningNode::in_front_of(&[("s", server.address)]);
     let (mut slow, mut idle) = (node.client(), node.client());
     slow.write(&request("read", "", "slow"));
     server.next_request();
     node.stop();
     let answer = loop {
-        // The stop is seen soon, not at once.
+        // The node notices the stop after a short time.
         let answer = node.ask("read");
         assert_eq!(answer.status(), 200, "new clients are still served");
         if answer.header("connection") == Some("close") {
@@ -310,9 +316,9 @@
     (command, path)
 }
 
-/// Guards the start: what is missing is named in one line, and the exit code tells.
+/// The error is one line that names the missing field, and the exit code reports failure.
 #[test]
-fn an_incomplete_configuration_ends_the_start_with_the_field_named() {
+fn a_missing_field_ends_the_start_with_the_field_named() {
     let nowhere = "127.0.0.1:9".parse().unwrap();
     for (field, pointer) in [
         ("listen", ""),
@@ -345,12 +351,12 @@
     assert!(kill.success());
 }
 
-/// Guards the deadline where the node itself loses time: a request that waited unread counts from the
-/// beginning of the hold-up, so that no server and no client is promised time that has passed.
+/// The deadline of a request that waited unread counts from the start of the suspension; otherwise the server and the
+/// client would be promised time that has passed.
 #[test]
-fn the_time_that_the_node_is_held_up_counts() {
+fn time_during_which_the_node_is_suspended_counts_against_the_deadline() {
     let server = Server::start(|_| ok());
-    let (_held, discovery) = Discovery::start(&[("s", server.address)]);
+    let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let (mut command, path) = program(&config(discovery.address, &[("s", server.address)]).to_string());
     let (mut child, address) = start(&mut command);
     let mut client = Client::connect(address);
@@ -368,29 +374,27 @@
     assert!(left < 3_600, "{left} ms promised of 4,500 after 1,000 were lost");
 }
 
-/// Guards the program itself: it serves, and SIGTERM ends it with exit code 0, also when nobody reads
-/// its log any more.
+/// SIGTERM ends the program with exit code 0, even if its log pipe has no reader any more.
 #[test]
-fn the_program_serves_and_ends_well_on_sigterm() {
+fn the_program_serves_and_exits_with_0_on_sigterm() {
     let server = Server::start(|_| ok());
-    let (_held, discovery) = Discovery::start(&[("s", server.address)]);
+    let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let (mut command, path) = program(&config(discovery.address, &[("s", server.address)]).to_string());
     let (mut child, address) = start(&mut command);
     assert_eq!(Client::connect(address).ask("read").status(), 200);
     signal(&child, "TERM");
     let started = std::time::Instant::now();
     assert!(child.wait().unwrap().success());
-    assert!(started.elapsed() < Duration::from_secs(5), "longer than its longest deadline");
+    assert!(started.elapsed() < Duration::from_secs(5), "the stop took longer than the longest deadline");
     std::fs::remove_file(path).unwrap();
 }
 
-/// Guards the change of configuration: SIGHUP moves the watch, a broken file changes nothing, and the
-/// program serves all the while.
+/// SIGHUP moves the watch to the new discovery, an invalid file changes nothing, and the program serves all the time.
 #[test]
-fn on_sighup_the_program_moves_to_the_new_discovery_and_passes_over_a_broken_file() {
-    let (old, new) = (Server::start(|_| ok()), Server::start(|_| Then::Write(answer(200, "", "new"))));
-    let (_held, before) = Discovery::start(&[("old", old.address)]);
-    let (held, after) = Discovery::start(&[("new", new.address)]);
+fn sighup_moves_to_the_new_discovery_and_ignores_an_invalid_file() {
+    let (old, new) = (Server::start(|_| ok()), Server::start(|_| Reply::Write(response(200, "", "new"))));
+    let (_list_source, before) = Discovery::start(&[("old", old.address)]);
+    let (list_source, after) = Discovery::start(&[("new", new.address)]);
     for mode in ["push", "ask"] {
         let mut config = config(before.address, &[("old", old.address)]);
         config["settings"]["Discovery"] = mode.into();
@@ -408,45 +412,45 @@
         config["settings"]["Limits"]["ConnIdle"] = 30_000_000_000u64.into();
         std::fs::write(&path, config.to_string()).unwrap();
         signal(&child, "HUP");
-        assert_eq!(after.next_request().start, "GET /registry/instances HTTP/1.1", "{mode}");
-        while !after.next_request().start.contains("index=1") {}
+        assert_eq!(after.next_request().start_line, "GET /registry/instances HTTP/1.1", "{mode}");
+        while !after.next_request().start_line.contains("index=1") {}
         assert_eq!(client.ask("read").body, b"new", "{mode}");
         signal(&child, "TERM");
         assert!(child.wait().unwrap().success(), "{mode}");
         std::fs::remove_file(path).unwrap();
-        while after.seen.try_recv().is_ok() {}
+        while after.events.try_recv().is_ok() {}
     }
-    drop(held);
+    drop(list_source);
 }
 
-/// Guards a restart whose signals cross: a second SIGTERM, or one in the middle of reading the configuration again,
-/// changes nothing of what the first has begun, and what was taken is answered whole.
+/// A second SIGTERM, or one while the configuration is being read again, must not change the stop that has begun;
+/// accepted requests get their whole response.
 #[test]
-fn signals_that_cross_leave_what_was_taken_its_answer() {
-    for crossing in [["TERM", "TERM", "HUP"], ["HUP", "TERM", "TERM"], ["TERM", "HUP", "TERM"]] {
+fn overlapping_signals_leave_accepted_requests_their_response() {
+    for signals in [["TERM", "TERM", "HUP"], ["HUP", "TERM", "TERM"], ["TERM", "HUP", "TERM"]] {
         let (release, released) = mpsc::channel::<()>();
         let released = Mutex::new(released);
         let server = Server::start(move |request| {
             if request.body == b"slow" {
-                released.lock().unwrap().recv_timeout(PATIENCE).unwrap();
+                released.lock().unwrap().recv_timeout(TIMEOUT).unwrap();
             }
             ok()
         });
-        let (_held, discovery) = Discovery::start(&[("s", server.address)]);
+        let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
         let (mut command, path) = program(&config(discovery.address, &[("s", server.address)]).to_string());
         let (mut child, address) = start(&mut command);
         let mut slow = Client::connect(address);
         slow.write(&request("read", "X-Remaining-Ms: 4000\r\n", "slow"));
         server.next_request();
-        crossing.iter().for_each(|name| signal(&child, name));
-        // What came before the signals were seen or after is served alike.
+        signals.iter().for_each(|name| signal(&child, name));
+        // Requests are served before and after the node notices the signals.
         while Client::connect(address).ask("read").header("connection") != Some("close") {}
         release.send(()).unwrap();
-        let answer = slow.read().expect("an answer");
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, b"pong".as_slice()), "{crossing:?}");
-        assert_eq!(answer.header("connection"), Some("close"), "{crossing:?}");
+        let answer = slow.read().expect("a response");
+        assert_eq!((answer.status(), answer.body.as_slice()), (200, b"pong".as_slice()), "{signals:?}");
+        assert_eq!(answer.header("connection"), Some("close"), "{signals:?}");
         drop(slow);
-        assert!(child.wait().unwrap().success(), "{crossing:?}");
+        assert!(child.wait().unwrap().success(), "{signals:?}");
         std::fs::remove_file(path).unwrap();
     }
 }
--- a/crates/cli/tests/shim/socket_faults.c
+++ b/crates/cli/tests/shim/socket_faults.c
@@ -1,7 +1,10 @@
-/* Preloaded into a node. While the file that SOCKET_ERRORS names exists, every third call of accept4, socket and connect
- * fails in one of the ways that Linux documents. While the file that SHORT_TRANSFERS names exists, reads and writes on
- * streams move a few bytes each, and every third one is interrupted, as is every third wait. The wall clock is
- * ahead by as many seconds as the file says that WALL_CLOCK names. */
+/* A library that is preloaded into a node and injects faults into system calls. Three environment variables each name a
+ * file:
+ * SOCKET_ERRORS: while the file exists, every third call of accept4, socket and connect fails with an error that Linux
+ * documents.
+ * SHORT_TRANSFERS: while the file exists, reads and writes on streams transfer at most SHORT_LENGTH bytes each, and every
+ * third read, write and wait is interrupted.
+ * WALL_CLOCK: the file holds the offset of the wall clock in seconds. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -22,7 +25,7 @@
 static const int socket_errors[] = {ENFILE, EMFILE, ENOBUFS, ENOMEM};
 static const int connect_errors[] = {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, ECONNREFUSED, ENOBUFS};
 
-/* Whether the file exists that this variable names. */
+/* Returns whether the file named by this environment variable exists. */
 static int is_on(const char *variable) {
     int before = errno;
     const char *file = getenv(variable);
@@ -31,7 +34,7 @@
     return on;
 }
 
-/* The error with which this call fails; 0: none. */
+/* Returns the error with which this call fails, or 0 if it succeeds. */
 static int fault(atomic_uint *calls, const int *errors, unsigned count) {
     if (!is_on("SOCKET_ERRORS")) {
         return 0;
@@ -46,7 +49,7 @@
     return getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0 && type == SOCK_STREAM;
 }
 
-/* Whether a signal comes before this call has moved anything. */
+/* Returns whether this call is interrupted before it transfers anything, and sets errno if so. */
 static int is_interrupted(atomic_uint *calls) {
     if (!is_on("SHORT_TRANSFERS") || atomic_fetch_add(calls, 1) % 3 != 0) {
         return 0;
@@ -55,7 +58,7 @@
     return 1;
 }
 
-/* How much of this length a read or a write moves at most. */
+/* Returns the number of bytes that a read or write of this length may transfer. */
 static size_t shortened(int fd, size_t length) {
     if (length <= SHORT_LENGTH || !is_on("SHORT_TRANSFERS") || !is_stream(fd)) {
         return length;
@@ -139,13 +142,13 @@
     return real(fd, &first, 1);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     static int (*real)(int, struct epoll_event *, int, int);
     static atomic_uint calls;
     if (real == NULL) {
         real = dlsym(RTLD_NEXT, "epoll_wait");
     }
-    return is_interrupted(&calls) ? -1 : real(fd, events, most, timeout);
+    return is_interrupted(&calls) ? -1 : real(fd, events, max_events, timeout);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A second process beside the first, on the same addresses.
+//! Upgrades: a second process of a node on the same addresses as the first.
 
 mod common;
 
@@ -14,36 +14,36 @@
 use common::*;
 use serde_json::json;
 
-const ASKING: usize = 4; // clients that ask at the same time, one connection after the other
+/// Number of concurrent clients, each of which opens one connection after the other.
+const CLIENTS: usize = 4;
 
-/// Guards clients over an upgrade: whoever connects while one node leaves and the other stays is served. The
-/// kernel resets a connection whose handshake is under way in the moment in which a listener closes; each
-/// client has one connection at that moment, and its next one is served.
+/// The kernel resets a connection whose handshake is under way when a listener closes. Each client has one connection at a
+/// time, so it may lose one; every other request is served.
 #[test]
 fn clients_are_served_while_one_node_leaves_the_address_to_another() {
-    let server = Server::start(|_| Then::Write(answer(200, "", "pong")));
+    let server = Server::start(|_| Reply::Write(response(200, "", "pong")));
     let known = [("s", server.address)];
-    let (_told, discovery) = Discovery::start(&known);
-    let mut leaving = Running::start(&config(discovery.address, &known));
+    let (_list_source, discovery) = Discovery::start(&known);
+    let mut leaving = RunningNode::start(&config(discovery.address, &known));
     let mut config = config(discovery.address, &known);
     config["listen"] = json!(leaving.address);
-    let _staying = Running::start(&config);
+    let _staying = RunningNode::start(&config);
     let done = Arc::new(AtomicBool::new(false));
-    let asking: Vec<_> = (0..ASKING)
+    let asking: Vec<_> = (0..CLIENTS)
         .map(|_| {
             let (done, to) = (done.clone(), leaving.address);
             thread::spawn(move || {
-                let (mut served, mut turned_back) = (0, 0);
+                let (mut served, mut reset) = (0, 0);
                 while !done.load(Ordering::Relaxed) {
-                    match Client::try_ask(to, "read") {
+                    match Client::try_request(to, "read") {
                         Some(answer) => {
                             assert_eq!(answer.status(), 200, "after {served} served");
                             served += 1;
                         }
-                        None => turned_back += 1,
+                        None => reset += 1,
                     }
                 }
-                (served, turned_back)
+                (served, reset)
             })
         })
         .collect();
@@ -51,86 +51,86 @@
     leaving.join();
     done.store(true, Ordering::Relaxed);
     for asking in asking {
-        let (served, turned_back) = asking.join().expect("no request is answered otherwise");
-        assert!(served > 0 && turned_back <= 1, "{served} served, {turned_back} turned back");
+        let (served, reset) = asking.join().expect("a request got a status other than 200");
+        assert!(served > 0 && reset <= 1, "{served} served, {reset} reset");
     }
 }
 
-/// Guards what operators have ordered over an upgrade, whichever process they tell, and after it.
+/// Orders of operators apply to both processes during an upgrade and remain in force after it.
 #[test]
-fn orders_hold_for_both_processes_whichever_is_told() {
-    let (one, two) = (Server::start(|_| Then::Write(answer(200, "", "one"))), Server::start(|_| Then::Hang));
+fn operator_orders_hold_for_both_processes_whichever_receives_them() {
+    let (one, two) =
+        (Server::start(|_| Reply::Write(response(200, "", "one"))), Server::start(|_| Reply::Hang));
     let known = [("one", one.address), ("two", two.address)];
-    let (_told, discovery) = Discovery::start(&known);
+    let (_list_source, discovery) = Discovery::start(&known);
     let folder = Folder::new("both");
     let mut config = config(discovery.address, &known);
     config["console"] = json!("127.0.0.1:0");
-    let mut old = Running::start_in(Some(&folder.0), &config);
-    assert_eq!(old.call("POST", "/maintenance/enter", r#"{"member":"two"}"#).status(), 200);
+    let mut old = RunningNode::start_in(Some(&folder.0), &config);
+    assert_eq!(old.call_console("POST", "/maintenance/enter", r#"{"member":"two"}"#).status(), 200);
     config["listen"] = json!(old.address);
-    // The successor knows of no server yet: what is out is out once it does.
+    // The successor starts without servers. Maintenance applies once it learns of them.
     config["known"]["endpoints"] = json!([]);
-    let new = Running::start_in(Some(&folder.0), &config);
+    let new = RunningNode::start_in(Some(&folder.0), &config);
     new.wait_for("members", 2);
-    new.wait_until_it_serves();
-    assert_eq!(new.figure("members_unavailable"), 1);
-    assert!((0..20).all(|_| new.ask("read").status() == 200), "it was sent to a server that is out");
-    assert_eq!(new.call("POST", "/maintenance/enter", r#"{"member":"one"}"#).status(), 200);
+    new.wait_until_ready();
+    assert_eq!(new.metric("members_unavailable"), 1);
+    assert!(
+        (0..20).all(|_| new.ask("read").status() == 200),
+        "a request was sent to a server in maintenance"
+    );
+    assert_eq!(new.call_console("POST", "/maintenance/enter", r#"{"member":"one"}"#).status(), 200);
     old.wait_for("members_unavailable", 2);
-    assert_eq!(old.call("POST", "/maintenance/exit", r#"{"member":"one"}"#).status(), 200);
+    assert_eq!(old.call_console("POST", "/maintenance/exit", r#"{"member":"one"}"#).status(), 200);
     new.wait_for("members_unavailable", 1);
-    assert_eq!(new.call("POST", "/standby", "").status(), 200);
+    assert_eq!(new.call_console("POST", "/standby", "").status(), 200);
     old.stop();
     old.join();
-    let newest = Running::start_in(Some(&folder.0), &config);
+    let newest = RunningNode::start_in(Some(&folder.0), &config);
     let ready = || {
-        let mut front = newest.client();
-        front.write("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        front.read().expect("an answer").status()
+        let mut client = newest.client();
+        client.write("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        client.read().expect("a response").status()
     };
     newest.wait_for("members", 2);
-    newest.wait_until_it_serves();
+    newest.wait_until_ready();
     assert_eq!(
-        (newest.call("GET", "/status", "").status(), ready()),
+        (newest.call_console("GET", "/status", "").status(), ready()),
         (200, 503),
-        "drained, and able to serve"
+        "expected a drained process that is able to serve"
     );
-    assert_eq!(newest.call("POST", "/active", "").status(), 200);
+    assert_eq!(newest.call_console("POST", "/active", "").status(), 200);
     let begun = Instant::now();
     while ready() != 200 {
-        assert!(
-            begun.elapsed() < PATIENCE,
-            "either process may have taken the connection, and neither is ready"
-        );
+        assert!(begun.elapsed() < TIMEOUT, "no process is ready, whichever accepted the connection");
     }
     newest.wait_for("members_unavailable", 1);
 }
 
-/// Guards orders over an upgrade: the folder cannot be read in the moment in which the successor starts, and an operator
-/// calls it meanwhile.
+/// The shared folder cannot be read while the successor starts, and an operator gives it an order in the meantime.
 #[test]
-fn orders_hold_though_the_folder_fails_in_the_moment_of_a_start() {
+fn operator_orders_hold_when_the_folder_is_unreadable_at_start() {
     let (one, two, three) =
-        (Server::start(|_| Then::Hang), Server::start(|_| Then::Hang), Server::start(|_| Then::Hang));
+        (Server::start(|_| Reply::Hang), Server::start(|_| Reply::Hang), Server::start(|_| Reply::Hang));
     let known = [("one", one.address), ("two", two.address), ("three", three.address)];
-    let (_told, discovery) = Discovery::start(&known);
+    let (_list_source, discovery) = Discovery::start(&known);
     let folder = Folder::new("fails-at-start");
     let away = folder.0.with_extension("away");
     let mut config = config(discovery.address, &known);
     config["console"] = json!("127.0.0.1:0");
-    let mut old = Running::start_in(Some(&folder.0), &config);
-    assert_eq!(old.call("POST", "/maintenance/enter", r#"{"member":"two"}"#).status(), 200);
+    let mut old = RunningNode::start_in(Some(&folder.0), &config);
+    assert_eq!(old.call_console("POST", "/maintenance/enter", r#"{"member":"two"}"#).status(), 200);
     old.stop();
     old.join();
     std::fs::rename(&folder.0, &away).unwrap();
-    let new = Running::start_in(Some(&folder.0), &config);
+    let new = RunningNode::start_in(Some(&folder.0), &config);
     new.wait_for("members", 3);
-    assert_eq!(new.call("POST", "/maintenance/enter", r#"{"member":"one"}"#).status(), 200);
+    assert_eq!(new.call_console("POST", "/maintenance/enter", r#"{"member":"one"}"#).status(), 200);
     std::fs::rename(&away, &folder.0).unwrap();
     new.wait_for("members_unavailable", 2);
 }
 
-/// A node as a process of its own, ended with the test.
+/// A node process and its address; it is killed on drop.
 struct Program(Child, SocketAddr);
 
 impl Program {
@@ -142,8 +142,8 @@
         let mut child = command.spawn().unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap());
         let mut lines = lines.lines().map_while(Result::ok);
-        let serving = lines.find(|line| line.contains("serving")).expect("it serves");
-        thread::spawn(move || lines.for_each(drop)); // a full pipe would hold it up
+        let serving = lines.find(|line| line.contains("serving")).expect("the node did not start to serve");
+        thread::spawn(move || lines.for_each(drop)); // a full pipe would block the node
         let address = serving.rsplit("address=").next().unwrap().trim().parse().unwrap();
         Program(child, address)
     }
@@ -160,16 +160,16 @@
     }
 }
 
-/// Guards the platform's limit, which counts for both processes of a node together: the old one is as full of
-/// requests that take long as it can be when the new one comes, and clients press at both.
+/// The platform's limit applies to both processes together. The old process is loaded with slow requests when the new one
+/// starts, and clients keep connecting to both.
 #[test]
-fn two_full_processes_stay_within_the_limit_of_one() {
+fn two_loaded_processes_stay_within_the_socket_limit_of_one() {
     const SOCKETS: usize = 192;
     const SERVERS: usize = 32;
     let names: Vec<String> = (0..SERVERS).map(|n| format!("s{n}")).collect();
-    let servers: Vec<Server> = names.iter().map(|_| Server::start(|_| Then::Hang)).collect();
+    let servers: Vec<Server> = names.iter().map(|_| Server::start(|_| Reply::Hang)).collect();
     let known: Vec<_> = names.iter().zip(&servers).map(|(name, s)| (name.as_str(), s.address)).collect();
-    let (_told, discovery) = Discovery::start(&known);
+    let (_list_source, discovery) = Discovery::start(&known);
     let folder = Folder::new("full");
     let mut config = config(discovery.address, &known);
     config["limits"]["sockets"] = json!(SOCKETS);
@@ -182,21 +182,21 @@
             clients.push_back(client);
         }
         while clients.len() > 2 * SOCKETS {
-            clients.pop_front(); // gives up, as clients do
+            clients.pop_front(); // the client gives up
         }
     };
     ask(SOCKETS / 3);
     let begun = Instant::now();
     while old.descriptors() < SOCKETS / 2 {
-        assert!(begun.elapsed() < PATIENCE, "the old one never filled: {}", old.descriptors());
+        assert!(begun.elapsed() < TIMEOUT, "the old process opened only {} descriptors", old.descriptors());
     }
     config["listen"] = json!(old.1);
     let console = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     config["console"] = json!(console);
     let new = Program::start(&folder.0, "new.json", &config);
     let (mut most, mut served) = (0, 0);
-    // Until the new one has taken clients, and a while more.
-    let mut end = Instant::now() + PATIENCE;
+    // Runs until the new process has accepted clients, and for 2 s more.
+    let mut end = Instant::now() + TIMEOUT;
     while Instant::now() < end {
         most = most.max(old.descriptors() + new.descriptors());
         if new.descriptors() > SOCKETS / 6 && served == 0 {
@@ -206,6 +206,6 @@
         ask(2);
         thread::sleep(Duration::from_millis(5));
     }
-    assert!(served > 0, "the new one never took its part: {most}");
+    assert!(served > 0, "the new process accepted too few clients; {most} descriptors in both");
     assert!(most <= SOCKETS, "{most} of {SOCKETS} descriptors in use");
 }
