--- a/crates/cli/tests/bodies.rs
+++ b/crates/cli/tests/bodies.rs
@@ -72,11 +72,11 @@
 #[test]
 fn a_long_response_passes_in_any_framing() {
     let node = node_in_front_of(start_raw_server(|mut stream| loop {
-        let asked = read_head(&mut stream);
+        let request_head = read_head(&mut stream);
         let body = pattern(LONG);
-        if asked.is_empty() {
+        if request_head.is_empty() {
             return;
-        } else if asked.contains("/pay") {
+        } else if request_head.contains("/pay") {
             // The response has chunk extensions and trailers.
             stream.write_all(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
             for chunk in body.chunks(100_001) {
@@ -84,7 +84,7 @@
                 stream.write_all(chunk).and_then(|()| stream.write_all(b"\r\n")).unwrap();
             }
             stream.write_all(b"0\r\nX-Sum: 1\r\n\r\n").unwrap();
-        } else if asked.contains("told") {
+        } else if request_head.contains("length") {
             write!(stream, "HTTP/1.1 200 x\r\nContent-Length: {}\r\n\r\n", body.len()).unwrap();
             stream.write_all(&body).unwrap();
         } else {
@@ -106,12 +106,12 @@
             body
         }
     };
-    for text in [get("pay"), get("read").replace("/read", "/read?told"), get("read")] {
+    for text in [get("pay"), get("read").replace("/read", "/read?length"), get("read")] {
         assert!(ask(&text) == pattern(LONG), "{text} got another body");
     }
     node.wait_for("pending", 0);
-    let of = |class: &str| node.metric(&format!("downstream_requests.{class}.completed"));
-    assert_eq!((of("read"), of("pay")), (2, 1));
+    let count = |class: &str| node.metric(&format!("downstream_requests.{class}.completed"));
+    assert_eq!((count("read"), count("pay")), (2, 1));
 }
 
 /// A response that its server truncates must not look complete to the client.
@@ -182,13 +182,13 @@
 #[test]
 fn a_long_request_passes_and_one_cut_before_its_last_byte_counts_as_not_run() {
     let node = node_in_front_of(start_raw_server(|mut stream| {
-        let asked = read_head(&mut stream);
-        if asked.contains("early") {
+        let request_head = read_head(&mut stream);
+        if request_head.contains("early") {
             return; // closes before the body, which is longer than the buffers of the connections
         }
         let mut body = vec![0; LONG];
         stream.read_exact(&mut body).unwrap();
-        if asked.contains("late") {
+        if request_head.contains("late") {
             return; // closes after the whole request
         }
         let same = if body == pattern(LONG) { "same" } else { "odd!" };
@@ -219,8 +219,8 @@
     assert_eq!(ask("late", &content_length(&body), &body).0, 502, "the request may have run");
     assert_eq!(ask("early", "Transfer-Encoding: chunked\r\nX-Txn", &chunked).0, 503);
     node.wait_for("pending", 0);
-    let of = |end: &str| node.metric(&format!("downstream_requests.pay.{end}"));
-    assert_eq!((of("completed"), of("rejected"), of("failed")), (1, 2, 1));
+    let count = |end: &str| node.metric(&format!("downstream_requests.pay.{end}"));
+    assert_eq!((count("completed"), count("rejected"), count("failed")), (1, 2, 1));
     assert_eq!(node.metric("upstream_requests"), 2, "attempts whose last byte was written");
 }
 
@@ -240,5 +240,5 @@
         client.write(body);
         assert_eq!(client.read().expect("a response").status(), status, "{framing}");
     }
-    assert_eq!(node.ask("read").status(), 200);
+    assert_eq!(node.request("read").status(), 200);
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -286,8 +286,8 @@
     }
 
     /// Sends one request on a new connection and returns the response.
-    pub fn ask(&self, class: &str) -> Message {
-        self.client().ask(class)
+    pub fn request(&self, class: &str) -> Message {
+        self.client().request(class)
     }
 }
 
@@ -327,7 +327,7 @@
         Message::read(&mut self.0)
     }
 
-    pub fn ask(&mut self, class: &str) -> Message {
+    pub fn request(&mut self, class: &str) -> Message {
         self.write(&request(class, "X-Remaining-Ms: 4000\r\n", "ping"));
         self.read().expect("an answer")
     }
--- a/crates/cli/tests/console.rs
+++ b/crates/cli/tests/console.rs
@@ -44,7 +44,7 @@
     }
     assert_eq!(node.call_console("GET", "/status", "").status(), 200);
     assert_eq!((node.metric("members"), node.metric("members_unavailable")), (1, 0));
-    assert_eq!(node.ask("read").status(), 200);
+    assert_eq!(node.request("read").status(), 200);
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let both = [("one", one.address), ("two", two.address)];
     let (list_source, discovery) = Discovery::start(&both);
     let node = RunningNode::start(&with_console(&discovery, &both));
-    let by = |node: &RunningNode| String::from_utf8(node.ask("read").body).unwrap();
+    let by = |node: &RunningNode| String::from_utf8(node.request("read").body).unwrap();
     for _ in 0..2 {
         assert_eq!(node.call_console("POST", "/maintenance/enter", r#"{"member":"one"}"#).status(), 200);
     }
@@ -78,7 +78,7 @@
     node.wait_for("members", 2);
     assert!((0..20).all(|_| by(&node) == "two"));
     assert_eq!(node.call_console("POST", "/maintenance/enter", r#"{"member":"two"}"#).status(), 200);
-    assert_eq!(node.ask("read").status(), 503, "all servers are in maintenance");
+    assert_eq!(node.request("read").status(), 503, "all servers are in maintenance");
     assert_eq!(node.call_console("POST", "/maintenance/exit", r#"{"member":"one"}"#).status(), 200);
     assert_eq!(by(&node), "pong");
 }
@@ -93,7 +93,7 @@
     let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let node = RunningNode::start(&with_console(&discovery, &[("s", server.address)]));
     for _ in 0..3 {
-        assert_eq!(node.ask("read").status(), 200);
+        assert_eq!(node.request("read").status(), 200);
     }
     let mut failing = node.client();
     failing.write(&request("pay", "X-Do: fail\r\n", ""));
@@ -104,9 +104,9 @@
     assert_eq!(node.metric("upstream_requests"), 5);
     drop(leaving);
     node.wait_for("pending", 0);
-    let of = |name| node.metric(&format!("downstream_requests.{name}"));
-    assert_eq!((of("read.completed"), of("read.rejected"), of("read.failed")), (3, 0, 0));
-    assert_eq!((of("pay.completed"), of("pay.rejected"), of("pay.failed")), (0, 0, 1));
+    let requests = |name| node.metric(&format!("downstream_requests.{name}"));
+    assert_eq!((requests("read.completed"), requests("read.rejected"), requests("read.failed")), (3, 0, 0));
+    assert_eq!((requests("pay.completed"), requests("pay.rejected"), requests("pay.failed")), (0, 0, 1));
 }
 
 /// Standby reports not ready, completes requests under way and closes all connections; `active` reverts it.
@@ -121,22 +121,22 @@
         client.read().expect("a response").status()
     };
     let (mut used, mut idle, mut kept) = (node.client(), node.client(), node.client());
-    assert_eq!((used.ask("read").status(), kept.ask("read").status(), ready(&node)), (200, 200, 200));
+    assert_eq!((used.request("read").status(), kept.request("read").status(), ready(&node)), (200, 200, 200));
     for _ in 0..2 {
         assert_eq!(node.call_console("POST", "/standby", "").status(), 200);
     }
     assert_eq!(ready(&node), 503);
-    let answer = used.ask("read");
+    let answer = used.request("read");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     let ends = thread::spawn(move || (used.read().is_none(), idle.read().is_none()));
     assert_eq!(ends.join().unwrap(), (true, true), "connections stayed open");
     assert!(kept.read().is_none(), "an idle connection stayed open");
-    assert_eq!(node.ask("read").status(), 200, "a new client is still served");
+    assert_eq!(node.request("read").status(), 200, "a new client is still served");
     assert_eq!(node.call_console("GET", "/status", "").status(), 200, "the process runs on");
     assert_eq!(node.call_console("POST", "/active", "").status(), 200);
     assert_eq!(ready(&node), 200);
     let mut kept = node.client();
-    assert!((0..3).all(|_| kept.ask("read").header("connection").is_none()));
+    assert!((0..3).all(|_| kept.request("read").header("connection").is_none()));
     node.call_console("POST", "/standby", "");
     node.stop();
     node.join();
--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -125,7 +125,7 @@
     let server = Server::start(|_| ok());
     let mut node = RunningNode::in_front_of(&[("s", server.address)]);
     let (mut partial, mut idle) = (node.client(), node.client());
-    assert_eq!((partial.ask("read").status(), idle.ask("read").status()), (200, 200));
+    assert_eq!((partial.request("read").status(), idle.request("read").status()), (200, 200));
     let text = request("read", "X-Remaining-Ms: 3000\r\n", "ping");
     let (first, second) = text.split_at(text.len() / 2);
     partial.write(first);
@@ -179,10 +179,10 @@
     let server = Server::start(|request| if request.body == b"hang" { Reply::Hang } else { ok() });
     let mut node = RunningNode::in_front_of(&[("s", server.address)]);
     let mut client = node.client();
-    assert_eq!(client.ask("read").status(), 200);
+    assert_eq!(client.request("read").status(), 200);
     let stopped = Instant::now();
     node.stop();
-    while node.ask("read").header("connection") != Some("close") {}
+    while node.request("read").header("connection") != Some("close") {}
     client.write(&request("read", "X-Remaining-Ms: 5000\r\n", "hang"));
     let answer = client.read().expect("a response");
     assert!(matches!(answer.status(), 502 | 503), "{}", answer.status());
@@ -197,13 +197,14 @@
 fn requests_before_the_first_pushed_list_wait_for_it() {
     let (old, new) = (Server::start(|_| ok()), Server::start(|_| ok()));
     let (asked, may_answer) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-    let (told, text) = ((asked.clone(), may_answer.clone()), list(2, &[("new", new.address)]).to_string());
+    let (at_discovery, text) =
+        ((asked.clone(), may_answer.clone()), list(2, &[("new", new.address)]).to_string());
     let discovery = Server::start(move |request| {
         if request.start_line.contains("index=") {
             return Reply::Hang;
         }
-        told.0.wait();
-        told.1.wait();
+        at_discovery.0.wait();
+        at_discovery.1.wait();
         Reply::Write(response(200, "", &text))
     });
     let node = RunningNode::start(&config(discovery.address, &[("old", old.address)]));
@@ -222,7 +223,7 @@
     let discovery = Server::start(|_| Reply::Hang);
     let begun = Instant::now();
     let node = RunningNode::start(&config(discovery.address, &[("s", server.address)]));
-    assert_eq!(node.ask("read").status(), 200);
+    assert_eq!(node.request("read").status(), 200);
     assert!(begun.elapsed() < Duration::from_secs(3), "ready after {:?}", begun.elapsed());
 }
 
@@ -238,7 +239,7 @@
     config["settings"]["Discovery"] = "ask".into();
     let node = RunningNode::start(&config);
     let mut worker = node.client();
-    assert_eq!(worker.ask("read").status(), 200);
+    assert_eq!(worker.request("read").status(), 200);
     let _idle: Vec<Client> = (0..64).map(|_| node.client()).collect();
     let filled = Instant::now();
     list_source.set_answer(2, list(2, &[("new", new.address)]).to_string());
@@ -258,10 +259,10 @@
 fn a_repeat_is_not_sent_after_its_idempotency_window() {
     let full = FullServer::new();
     let (listed, may_break) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-    let told = (listed.clone(), may_break.clone());
+    let at_server = (listed.clone(), may_break.clone());
     let breaks = Server::start(move |_| {
-        told.0.wait();
-        told.1.wait();
+        at_server.0.wait();
+        at_server.1.wait();
         Reply::WriteAndClose(String::new())
     });
     let (list_source, discovery) = Discovery::start(&[("breaks", breaks.address)]);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -53,10 +53,10 @@
     assert_eq!((&view["known"], &view["majority"]), (&json!(2), &json!(false)), "one of two is no majority");
     let mut console = Client::connect(one.console);
     console.write(&call("GET", "/status/metrics", ""));
-    let figures = String::from_utf8(console.read().unwrap().body).unwrap();
+    let metrics = String::from_utf8(console.read().unwrap().body).unwrap();
     assert!(
-        figures.contains("edge_balancer.fleet_members=1\n")
-            && figures.contains("edge_balancer.fleet_majority=0\n")
+        metrics.contains("edge_balancer.fleet_members=1\n")
+            && metrics.contains("edge_balancer.fleet_majority=0\n")
     );
     let back = Member::start(&folder, "three", "three", free_udp_address(), seed);
     back.wait_for("it rejoins the fleet", alive(2));
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -42,7 +42,7 @@
 #[test]
 fn an_unsafe_request_is_refused_only_if_it_certainly_never_ran() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let refusing = RunningNode::in_front_of(&[("s", closed)]).ask("pay");
+    let refusing = RunningNode::in_front_of(&[("s", closed)]).request("pay");
     assert_eq!(refusing.status(), 503, "nothing listens, so the request never ran");
     let advice: f64 = refusing.header("retry-after").expect("a Retry-After header").parse().expect("seconds");
     assert!((0.001..=1.5).contains(&advice), "{advice} s, expected at most 1.5 s (MaxRetryAfter)");
@@ -60,7 +60,7 @@
     ];
     for (name, status, then) in cases {
         let server = Server::start(move |_| then());
-        let answer = RunningNode::in_front_of(&[("s", server.address)]).ask("pay");
+        let answer = RunningNode::in_front_of(&[("s", server.address)]).request("pay");
         assert_eq!(answer.status(), status, "{name}");
     }
 }
@@ -71,8 +71,8 @@
     let server =
         Server::start(|_| Reply::Write(response(200, "X-Pressure: TEXT inflight=é, =;\r\n", "pong")));
     let node = RunningNode::in_front_of(&[("s", server.address)]);
-    assert_eq!(node.ask("read").status(), 200);
-    assert_eq!(node.ask("read").status(), 200);
+    assert_eq!(node.request("read").status(), 200);
+    assert_eq!(node.request("read").status(), 200);
 }
 
 /// The client gets a response before its deadline. The connection of the attempt is closed, so that a late response on it
@@ -88,7 +88,7 @@
     client.write(&request("pay", "X-Remaining-Ms: 900\r\n", ""));
     assert_eq!(client.read().unwrap().status(), 502);
     server.wait_for_close();
-    assert_eq!(client.ask("pay").status(), 200, "the next response belongs to the next request");
+    assert_eq!(client.request("pay").status(), 200, "the next response belongs to the next request");
 }
 
 /// A request whose client has left must end, or it would hold a slot of the open requests.
@@ -102,17 +102,17 @@
     let mut leaver = node.client();
     leaver.write(&request("read", "X-Remaining-Ms: 900\r\n", ""));
     server.next_request();
-    assert_eq!(node.ask("read").status(), 503, "the limit of one open request is reached");
+    assert_eq!(node.request("read").status(), 503, "the limit of one open request is reached");
     drop(leaver);
     server.wait_for_close();
-    assert_eq!(node.ask("read").status(), 200);
+    assert_eq!(node.request("read").status(), 200);
 }
 
 #[test]
 fn successive_requests_reuse_one_connection() {
     let server = Server::start(|_| ok());
     let node = RunningNode::in_front_of(&[("s", server.address)]);
-    (0..5).for_each(|_| assert_eq!(node.ask("pay").status(), 200));
+    (0..5).for_each(|_| assert_eq!(node.request("pay").status(), 200));
     let seen: Vec<ServerEvent> = server.events.try_iter().collect();
     assert_eq!(seen.iter().filter(|seen| matches!(seen, ServerEvent::Connection)).count(), 1, "{seen:?}");
 }
@@ -128,7 +128,7 @@
     for server in [closing, chatty] {
         let node = RunningNode::in_front_of(&[("s", server.address)]);
         for _ in 0..5 {
-            let answer = node.ask("pay");
+            let answer = node.request("pay");
             assert_eq!((answer.status(), answer.body.as_slice()), (200, b"pong".as_slice()));
             server.wait_for_close(); // the next request could otherwise race with the close
         }
@@ -143,9 +143,9 @@
     let mut config = config(discovery.address, &[("s", server.address)]);
     config["settings"]["Limits"]["ConnIdle"] = 100_000_000.into();
     let node = RunningNode::start(&config);
-    assert_eq!(node.ask("pay").status(), 200);
+    assert_eq!(node.request("pay").status(), 200);
     server.wait_for_close();
-    assert_eq!(node.ask("pay").status(), 200);
+    assert_eq!(node.request("pay").status(), 200);
 }
 
 /// A watch names the version that the node has, a whole list replaces the previous one, and the node fetches the list
@@ -156,7 +156,7 @@
     let new = Server::start(|_| Reply::Write(response(200, "", "new")));
     let (list_source, discovery) = Discovery::start(&[("old", old.address)]);
     let node = RunningNode::start(&config(discovery.address, &[("old", old.address)]));
-    assert_eq!(node.ask("read").body, b"old");
+    assert_eq!(node.request("read").body, b"old");
     assert_eq!(discovery.next_request().start_line, "GET /registry/instances HTTP/1.1");
     assert!(discovery.next_request().start_line.starts_with("GET /registry/instances?index=1&wait="));
     list_source.set_answer(
@@ -166,7 +166,7 @@
     assert_eq!(discovery.next_request().start_line, "GET /registry/instances HTTP/1.1", "a new watch begins");
     list_source.set_answer(3, list(3, &[("new", new.address)]).to_string());
     while !discovery.next_request().start_line.contains("index=3") {}
-    assert_eq!(node.ask("read").body, b"new");
+    assert_eq!(node.request("read").body, b"new");
 }
 
 /// A change that an unanswered watch hides takes effect 6 s after the watch fell silent. Before that, the node must close
@@ -177,9 +177,9 @@
     let (first, second) = (list(1, &[("old", old.address)]), list(2, &[("new", new.address)]));
     let silent = AtomicUsize::new(0);
     let discovery = Server::start(move |request| match &request.start_line {
-        start if start.contains("index=2") => Reply::Hang,
-        start if start.contains("index=1&wait=0") => Reply::Write(response(200, "", &second.to_string())),
-        start if start.contains("index=1") => {
+        line if line.contains("index=2") => Reply::Hang,
+        line if line.contains("index=1&wait=0") => Reply::Write(response(200, "", &second.to_string())),
+        line if line.contains("index=1") => {
             silent.fetch_add(1, Ordering::Relaxed);
             Reply::Hang
         }
@@ -194,7 +194,7 @@
     );
     while !discovery.next_request().start_line.contains("index=2") {}
     assert!(begun.elapsed() < Duration::from_millis(5_000), "{:?} of 6 s", begun.elapsed());
-    assert_eq!(node.ask("read").status(), 200);
+    assert_eq!(node.request("read").status(), 200);
     new.next_request();
 }
 
@@ -205,26 +205,26 @@
     let (first, second) = (list(1, &[("old", old.address)]), list(2, &[("new", new.address)]));
     let (late, given_up) = (mpsc::channel::<()>(), mpsc::channel::<()>());
     let (late, given_up) = ((Mutex::new(late.0), Mutex::new(late.1)), given_up);
-    let (tell, told) = (Mutex::new(given_up.0), given_up.1);
+    let (late_answer_sender, late_answer) = (Mutex::new(given_up.0), given_up.1);
     let discovery = Server::start(move |request| match &request.start_line {
-        start if start.contains("index=2") => Reply::Hang,
-        start if start.contains("index=1&wait=0") => {
+        line if line.contains("index=2") => Reply::Hang,
+        line if line.contains("index=1&wait=0") => {
             // This is the call for missed changes: it gets no answer, and the watch is answered now.
             late.0.lock().unwrap().send(()).unwrap();
             Reply::Hang
         }
-        start if start.contains("index=1") => {
+        line if line.contains("index=1") => {
             late.1.lock().unwrap().recv_timeout(TIMEOUT).unwrap();
-            tell.lock().unwrap().send(()).unwrap();
+            late_answer_sender.lock().unwrap().send(()).unwrap();
             Reply::Write(response(200, "", &second.to_string()))
         }
         _ => Reply::Write(response(200, "", &first.to_string())),
     });
     let node = RunningNode::start(&config(discovery.address, &[("old", old.address)]));
-    told.recv_timeout(TIMEOUT).unwrap();
+    late_answer.recv_timeout(TIMEOUT).unwrap();
     let begun = std::time::Instant::now();
     // Only the late answer contains the new server.
-    while node.ask("read").status() != 200 || new.events.try_iter().count() == 0 {
+    while node.request("read").status() != 200 || new.events.try_iter().count() == 0 {
         assert!(begun.elapsed() < Duration::from_millis(1_000), "the late answer was not applied");
     }
 }
@@ -265,7 +265,7 @@
     let mut clients: Vec<Client> = (0..40).map(|_| node.client()).collect();
     // Few descriptors are left, so each client is told to close after its response, which makes room for the next.
     for client in &mut clients {
-        let answer = client.ask("read");
+        let answer = client.request("read");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
 }
@@ -289,7 +289,7 @@
     node.stop();
     let answer = loop {
         // The node notices the stop after a short time.
-        let answer = node.ask("read");
+        let answer = node.request("read");
         assert_eq!(answer.status(), 200, "new clients are still served");
         if answer.header("connection") == Some("close") {
             break answer;
@@ -360,7 +360,7 @@
     let (mut command, path) = program(&config(discovery.address, &[("s", server.address)]).to_string());
     let (mut child, address) = start(&mut command);
     let mut client = Client::connect(address);
-    assert_eq!(client.ask("read").status(), 200);
+    assert_eq!(client.request("read").status(), 200);
     server.next_request();
     signal(&child, "STOP");
     client.write(&request("read", "X-Remaining-Ms: 4500\r\n", ""));
@@ -381,7 +381,7 @@
     let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let (mut command, path) = program(&config(discovery.address, &[("s", server.address)]).to_string());
     let (mut child, address) = start(&mut command);
-    assert_eq!(Client::connect(address).ask("read").status(), 200);
+    assert_eq!(Client::connect(address).request("read").status(), 200);
     signal(&child, "TERM");
     let started = std::time::Instant::now();
     assert!(child.wait().unwrap().success());
@@ -401,20 +401,20 @@
         let (mut command, path) = program(&config.to_string());
         let (mut child, address) = start(&mut command);
         let mut client = Client::connect(address);
-        assert_eq!(client.ask("read").body, b"pong");
+        assert_eq!(client.request("read").body, b"pong");
         config["discovery"] = after.address.to_string().into();
         config["settings"]["Limits"].as_object_mut().unwrap().remove("ConnIdle");
         for broken in ["{\"name\": \"n0\", ", &config.to_string()] {
             std::fs::write(&path, broken).unwrap();
             signal(&child, "HUP");
-            assert_eq!(client.ask("read").body, b"pong");
+            assert_eq!(client.request("read").body, b"pong");
         }
         config["settings"]["Limits"]["ConnIdle"] = 30_000_000_000u64.into();
         std::fs::write(&path, config.to_string()).unwrap();
         signal(&child, "HUP");
         assert_eq!(after.next_request().start_line, "GET /registry/instances HTTP/1.1", "{mode}");
         while !after.next_request().start_line.contains("index=1") {}
-        assert_eq!(client.ask("read").body, b"new", "{mode}");
+        assert_eq!(client.request("read").body, b"new", "{mode}");
         signal(&child, "TERM");
         assert!(child.wait().unwrap().success(), "{mode}");
         std::fs::remove_file(path).unwrap();
@@ -444,7 +444,7 @@
         server.next_request();
         signals.iter().for_each(|name| signal(&child, name));
         // Requests are served before and after the node notices the signals.
-        while Client::connect(address).ask("read").header("connection") != Some("close") {}
+        while Client::connect(address).request("read").header("connection") != Some("close") {}
         release.send(()).unwrap();
         let answer = slow.read().expect("a response");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"pong".as_slice()), "{signals:?}");
--- a/crates/cli/tests/resume.rs
+++ b/crates/cli/tests/resume.rs
@@ -15,7 +15,7 @@
     let node = RunningNode::start(&config);
     assert_eq!(discovery.next_request().start_line, "GET /registry/instances?index=1&wait=0 HTTP/1.1");
     assert_eq!(discovery.next_request().start_line, "GET /registry/instances?index=1&wait=2000 HTTP/1.1");
-    assert_eq!(node.ask("read").body, b"pong");
+    assert_eq!(node.request("read").body, b"pong");
 }
 
 #[test]
@@ -28,5 +28,5 @@
     let node = RunningNode::start(&config);
     assert_eq!(discovery.next_request().start_line, "GET /registry/instances HTTP/1.1");
     assert_eq!(discovery.next_request().start_line, "GET /registry/instances?index=1&wait=2000 HTTP/1.1");
-    assert_eq!(node.ask("read").body, b"pong");
+    assert_eq!(node.request("read").body, b"pong");
 }
--- a/crates/cli/tests/schedule.rs
+++ b/crates/cli/tests/schedule.rs
@@ -15,8 +15,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// The next quarter of the request.
-    Piece,
+    /// The client sends the next quarter of the request.
+    SendQuarter,
     /// Bytes after the request, as of a further request.
     TrailingBytes,
     /// The client closes.
@@ -33,7 +33,7 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        6 => Just(Step::Piece),
+        6 => Just(Step::SendQuarter),
         1 => Just(Step::TrailingBytes),
         1 => Just(Step::Leave),
         2 => Just(Step::Answer),
@@ -44,7 +44,7 @@
     prop::collection::vec(step, 4..14)
 }
 
-/// Tells the server whether to answer or to close; it waits until the test decides.
+/// Whether the server answers its requests or closes the connection; the server waits until the test has decided.
 #[derive(Default)]
 struct ServerDecision(Mutex<Option<bool>>, Condvar);
 
@@ -85,7 +85,7 @@
     let (mut drained, mut answers) = (false, None);
     for step in steps {
         match step {
-            Step::Piece if written < text.len() => {
+            Step::SendQuarter if written < text.len() => {
                 let end = (written + quarter).min(text.len());
                 if let Some(client) = &mut client {
                     // An error means that the node has closed, which the reads below show.
@@ -119,38 +119,38 @@
         }
     }
     decision.set(true);
-    let mut seen = Vec::new();
+    let mut response_bytes = Vec::new();
     let stayed = client.is_some();
     if let Some(mut client) = client {
         if whole {
             // Reads up to the end of the response head, or to a close without a response.
             let mut buffer = [0; 4096];
-            while !seen.windows(4).any(|end| end == b"\r\n\r\n") {
+            while !response_bytes.windows(4).any(|end| end == b"\r\n\r\n") {
                 match client.read(&mut buffer) {
-                    Ok(length @ 1..) => seen.extend_from_slice(&buffer[..length]),
+                    Ok(length @ 1..) => response_bytes.extend_from_slice(&buffer[..length]),
                     _ => break,
                 }
             }
         }
         let _ = client.set_read_timeout(Some(Duration::from_millis(1)));
         while let Ok(length @ 1..) = client.read(&mut [0; 4096]) {
-            seen.push(length as u8); // only the number of status lines in further bytes matters below
+            response_bytes.push(length as u8); // of further bytes only their presence is recorded
         }
     }
-    let text = String::from_utf8_lossy(&seen);
-    let finals = text.matches("HTTP/1.1 ").count();
+    let text = String::from_utf8_lossy(&response_bytes);
+    let final_responses = text.matches("HTTP/1.1 ").count();
     if !stopped {
         node.wait_for("pending", 0); // a stopped node may have ended
     }
     let sent = received.load(Ordering::SeqCst);
     prop_assert!(sent <= 1, "an unsafe request was sent {sent} times");
-    prop_assert!(finals <= 1, "{finals} answers: {text}");
+    prop_assert!(final_responses <= 1, "{final_responses} responses: {text}");
     prop_assert!(whole || sent == 0, "sent to the server before it was whole");
     prop_assert!(!drained_before || sent == 0, "sent to a draining server");
     if stayed && whole {
-        prop_assert!(finals == 1 || sent == 0 && stopped, "sent {sent} times and never answered");
+        prop_assert!(final_responses == 1 || sent == 0 && stopped, "sent {sent} times and never answered");
     }
-    if finals == 1 && sent == 1 && answers == Some(true) {
+    if final_responses == 1 && sent == 1 && answers == Some(true) {
         prop_assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     }
     if !stopped {
--- a/crates/cli/tests/system_calls.rs
+++ b/crates/cli/tests/system_calls.rs
@@ -180,15 +180,15 @@
 #[test]
 fn every_request_is_answered_while_reads_and_writes_are_short() {
     let body = "pong".repeat(BODY_REPEATS);
-    let told = body.clone();
-    let server = Server::start(move |_| Reply::Write(response(200, "", &told)));
+    let response_body = body.clone();
+    let server = Server::start(move |_| Reply::Write(response(200, "", &response_body)));
     let (_list_source, discovery) = Discovery::start(&[("s", server.address)]);
     let config = config(discovery.address, &[("s", server.address)]);
     let node = FaultyNode::start("short", &config, Faults::ShortTransfers);
     node.start_faults();
     let mut client = Client::connect(node.process.address);
     for _ in 0..REQUESTS {
-        let answer = client.ask("read");
+        let answer = client.request("read");
         assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
     }
 }
@@ -240,7 +240,7 @@
         let changed = Instant::now();
         list_source.set_answer(version, list(version, &[("s", server.address)]).to_string());
         for _ in 0..REQUESTS {
-            assert_eq!(client.ask("read").status(), 200, "{seconds} s ahead");
+            assert_eq!(client.request("read").status(), 200, "{seconds} s ahead");
             let remaining: u64 = server.next_request().header("x-remaining-ms").unwrap().parse().unwrap();
             assert!(
                 (MIN_REMAINING_AT_SERVER_MS..=REMAINING_MS).contains(&remaining),
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -29,7 +29,7 @@
     config["listen"] = json!(leaving.address);
     let _staying = RunningNode::start(&config);
     let done = Arc::new(AtomicBool::new(false));
-    let asking: Vec<_> = (0..CLIENTS)
+    let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
             let (done, to) = (done.clone(), leaving.address);
             thread::spawn(move || {
@@ -50,8 +50,8 @@
     leaving.stop();
     leaving.join();
     done.store(true, Ordering::Relaxed);
-    for asking in asking {
-        let (served, reset) = asking.join().expect("a request got a status other than 200");
+    for client in clients {
+        let (served, reset) = client.join().expect("a request got a status other than 200");
         assert!(served > 0 && reset <= 1, "{served} served, {reset} reset");
     }
 }
@@ -76,7 +76,7 @@
     new.wait_until_ready();
     assert_eq!(new.metric("members_unavailable"), 1);
     assert!(
-        (0..20).all(|_| new.ask("read").status() == 200),
+        (0..20).all(|_| new.request("read").status() == 200),
         "a request was sent to a server in maintenance"
     );
     assert_eq!(new.call_console("POST", "/maintenance/enter", r#"{"member":"one"}"#).status(), 200);
