--- a/crates/cli/tests/bodies.rs
+++ b/crates/cli/tests/bodies.rs
@@ -84,7 +84,7 @@
                 stream.write_all(chunk).and_then(|()| stream.write_all(b"\r\n")).unwrap();
             }
             stream.write_all(b"0\r\nX-Sum: 1\r\n\r\n").unwrap();
-        } else if request_head.contains("length") {
+        } else if request_head.contains("?length") {
             write!(stream, "HTTP/1.1 200 x\r\nContent-Length: {}\r\n\r\n", body.len()).unwrap();
             stream.write_all(&body).unwrap();
         } else {
