--- a/crates/lab/src/capacity/connections.rs
+++ b/crates/lab/src/capacity/connections.rs
@@ -100,21 +100,21 @@
 }
 
 /// Runs the simulation.
-pub fn simulate(question: Parameters) -> Answer {
-    let size = question.size;
-    let mut node = Node::new(size, &shares(size.services, question.skewed), size.entries());
-    let max_idle = (question.idle_s * IDLE_SHARE * SECOND as f64) as Nanos;
-    let mut limited = Pool::new(question.slots, max_idle);
+pub fn simulate(parameters: Parameters) -> Answer {
+    let size = parameters.size;
+    let mut node = Node::new(size, &shares(size.services, parameters.skewed), size.entries());
+    let max_idle = (parameters.idle_s * IDLE_SHARE * SECOND as f64) as Nanos;
+    let mut limited = Pool::new(parameters.slots, max_idle);
     let mut unlimited = Pool::new(usize::MAX, max_idle);
     let mut times: BTreeMap<ServerId, Vec<Nanos>> = BTreeMap::new();
     let (mut opened, mut opened_without_limit, mut open_connections) = (0, 0, 0);
     let (mut gaps, mut eighths) = (Vec::new(), Vec::new());
-    for sent in node.serve(question.requests) {
+    for sent in node.serve(parameters.requests) {
         limited.use_connection(sent.server, sent.at);
         unlimited.use_connection(sent.server, sent.at);
         times.entry(sent.server).or_default().push(sent.at);
     }
-    let counted = node.serve(question.requests);
+    let counted = node.serve(parameters.requests);
     let mut servers_used = BTreeSet::new();
     for sent in &counted {
         opened += usize::from(!limited.use_connection(sent.server, sent.at));
--- a/crates/lab/src/scale/command.rs
+++ b/crates/lab/src/scale/command.rs
@@ -97,7 +97,8 @@
     /// Duration of the measurement at each size, s.
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(2..=600))]
     seconds: u64,
-    /// Time between two proposals to the replicated log, ms; 0: none. The default rate far exceeds a usual day's 1,300.
+    /// Time between two proposals to the replicated log, ms; 0: none. A usual day has 1,300 proposals,
+    /// far fewer than the default.
     #[arg(long, default_value_t = 250)]
     propose_every_ms: u64,
     /// Write the tables as JSON into this folder, one file per role.
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -60,8 +60,8 @@
     pub name: String,
     /// Its duration, s.
     pub seconds: f64,
-    /// Time until every running node had the expected number of members alive and kept it to the end of the phase, s; none
-    /// if that did not happen.
+    /// Time until every running node had the expected number of members alive and kept it to the end of the phase, s;
+    /// none if that did not happen.
     pub one_view_s: Option<f64>,
 }
 
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -73,8 +73,8 @@
 }
 
 impl Forecast {
-    /// Forecasts the largest point from the smaller ones; none with fewer than three smaller points or if the largest cost
-    /// is 0.
+    /// Forecasts the largest point from the smaller ones; none with fewer than three smaller points or if the largest
+    /// cost is 0.
     pub fn of(points: &[Point]) -> Option<Forecast> {
         let largest = points.iter().copied().max_by(|a, b| a.size.total_cmp(&b.size))?;
         let smaller: Vec<Point> = points.iter().copied().filter(|point| point.size < largest.size).collect();
--- a/crates/lab/src/scale/list.rs
+++ b/crates/lab/src/scale/list.rs
@@ -66,8 +66,8 @@
     Ok(times[REPEATS / 2] as f64 / 1e3)
 }
 
-/// Returns the memory of one copy, KiB. It is measured over several copies, because a single one may fit into memory that
-/// is already free; for the same reason all copies stay in `retained`.
+/// Returns the memory of one copy, KiB. It is measured over several copies, because a single one may fit into memory
+/// that is already free; for the same reason all copies stay in `retained`.
 fn memory_per_copy_kib(text: &str, retained: &mut Vec<Config>) -> Result<f64, String> {
     let before = anonymous_memory_kib("self").unwrap_or(0);
     for _ in 0..COPIES {
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! Measures what the control plane costs a node in each role, by fleet size: sweeps over sizes, fitted lines, and faults
-//! in large fleets.
+//! Measures what the control plane costs a node in each role, by fleet size: sweeps over sizes, fitted lines, and
+//! faults in large fleets.
 //!
 //! The nodes are hollow: each runs the real control plane on real sockets but no data plane, many in one process.
 
--- a/crates/lab/src/scale/proof.rs
+++ b/crates/lab/src/scale/proof.rs
@@ -87,7 +87,8 @@
 }
 
 impl RealNodes {
-    /// Starts `count` nodes named from `first` on. `fleet` returns a node's `[fleet]` table by its index among these nodes.
+    /// Starts `count` nodes named from `first` on. `fleet` returns a node's `[fleet]` table by its index among these
+    /// nodes.
     fn start(count: usize, first: usize, fleet: impl Fn(usize) -> String) -> Result<Self, String> {
         let (range, folder) = (Range::claim()?, Folder::new(None)?);
         let mut experiment = experiments::find("calm")?;
--- a/crates/lab/src/scale/window.rs
+++ b/crates/lab/src/scale/window.rs
@@ -11,8 +11,8 @@
 
 /// Above this share of busy processors, the machine counts as the limit of processor time and latency.
 pub const MAX_BUSY_SHARE: f64 = 0.9;
-/// Above this 99th percentile of timer lateness, the machine counts as the limit of all figures, also of bytes sent. It is
-/// half the delay at which a node considers itself stalled.
+/// Above this 99th percentile of timer lateness, the machine counts as the limit of all figures, also of bytes sent.
+/// It is half the delay at which a node considers itself stalled.
 pub const MAX_LATENESS_MS: f64 = 50.0;
 
 /// A period of monotonic time, in ns, over which costs are measured.
@@ -31,7 +31,8 @@
     pub load_before: f64,
     /// Share of all processors in use during the window, by any program.
     pub busy: f64,
-    /// 99th percentile of the lateness of timers in the processes of hollow nodes, with four samples per second each, ms.
+    /// 99th percentile of the lateness of timers in the processes of hollow nodes, with four samples per second each.
+    /// In ms.
     pub lateness_p99_ms: f64,
     /// Maximum of the same lateness, ms.
     pub lateness_max_ms: f64,
--- a/crates/lab/src/trial/log_proposals.rs
+++ b/crates/lab/src/trial/log_proposals.rs
@@ -168,7 +168,10 @@
         let Some(ended) = op.ended.map(|(at, _)| at) else { continue };
         let before = done[..n].iter().find(|(_, earlier)| ended < earlier.began);
         if let Some((earlier, of)) = before {
-            violations.push(("linearizable", format!("revision {revision} was confirmed before the command of revision {earlier} began: {op:?}, {of:?}")));
+            violations.push((
+                "linearizable",
+                format!("revision {revision} ended before revision {earlier} began: {op:?}, {of:?}"),
+            ));
         }
         if let Some(expect) = op.expect {
             let on_key = done[..n].iter().rev().find(|(_, earlier)| earlier.key == op.key);
--- a/crates/lab/src/trial/processes.rs
+++ b/crates/lab/src/trial/processes.rs
@@ -66,7 +66,7 @@
 
 /// A run in progress. Its vectors are indexed by node number.
 struct Runner<'a> {
-    trial: &'a Scenario,
+    scenario: &'a Scenario,
     experiment: Experiment,
     command: &'a NodeCommand,
     clock: Clock,
@@ -137,16 +137,16 @@
 }
 
 /// Returns the experiment that surrounds the fleet: a light load, well within the guide servers' capacity.
-fn surrounding_experiment(trial: &Scenario) -> Result<Experiment, String> {
+fn surrounding_experiment(scenario: &Scenario) -> Result<Experiment, String> {
     let mut experiment = experiments::find("calm")?;
-    experiment.seconds = trial.seconds;
-    experiment.seed = trial.seed;
+    experiment.seconds = scenario.seconds;
+    experiment.seed = scenario.seed;
     (experiment.nodes.count, experiment.nodes.sockets, experiment.nodes.ask) =
-        (trial.fleet.nodes, 512, false);
-    experiment.fleet.zones = trial.fleet.zones.clone();
+        (scenario.fleet.nodes, 512, false);
+    experiment.fleet.zones = scenario.fleet.zones.clone();
     experiment.fleet.kinds.truncate(1);
     for kind in &mut experiment.fleet.kinds {
-        kind.count = trial.fleet.servers;
+        kind.count = scenario.fleet.servers;
     }
     (experiment.load.of_capacity, experiment.load.swing) = (0.1, 0.0);
     experiment.rules.served = 0.0;
@@ -164,32 +164,32 @@
 /// Returns an error if the scenario is invalid or cannot run on processes, if a node does not become ready, and if a
 /// node ends although no step ends it.
 pub async fn run(
-    name: &str, trial: &Scenario, command: &NodeCommand, logs: Option<&Path>,
+    name: &str, scenario: &Scenario, command: &NodeCommand, logs: Option<&Path>,
 ) -> Result<Report, String> {
-    trial.check()?;
-    if trial.fleet.strangers > 0 {
+    scenario.check()?;
+    if scenario.fleet.strangers > 0 {
         return Err("a scenario with strangers runs in virtual time only; use --virtual".to_owned());
     }
     let needs_faulty_disk = |fault: &merlinfold_fault_injection::scenario::Fault| match fault.kind {
         FaultKind::Disk { does, .. } => does.needs_faulty_store(),
         _ => false,
     };
-    let faulty_disks = trial.faults.iter().any(needs_faulty_disk);
+    let faulty_disks = scenario.faults.iter().any(needs_faulty_disk);
     if faulty_disks && *command != NodeCommand::own()? {
         return Err(
             "the scenario needs faulty disks, which only the lab's own node has; leave out --node".to_owned()
         );
     }
-    let experiment = surrounding_experiment(trial)?;
-    let count = trial.fleet.nodes;
-    let steps = steps(trial)?;
+    let experiment = surrounding_experiment(scenario)?;
+    let count = scenario.fleet.nodes;
+    let steps = steps(scenario)?;
     let (inner, outer) = (Arc::new(Range::claim()?), Arc::new(Range::claim()?));
     let clock = Clock::default();
     let (changes, _changed) = mpsc::unbounded_channel(); // the experiment plans no faults of its own
     let (servers, _stop) =
         Servers::start(&experiment, Seed(experiment.seed), &clock, &inner, &outer, changes)?;
     let (load, wake, _done) = Load::start(&experiment, Seed(experiment.seed), &clock, &outer);
-    let links = SharedLinks::new(Links::new(trial.network.clone(), trial.seed));
+    let links = SharedLinks::new(Links::new(scenario.network.clone(), scenario.seed));
     let mut tasks = JoinSet::new();
     let fleet_addresses =
         |range: &Range| (0..count).map(|node| fleet_address(range, node)).collect::<Vec<_>>();
@@ -198,7 +198,7 @@
         .await
         .map_err(relay_error)?;
     for node in 0..count {
-        let to_servers = (0..trial.fleet.servers)
+        let to_servers = (0..scenario.fleet.servers)
             .map(|s| (node, outer.server(node, s), FIRST_SERVER + s, inner.server(node, s)));
         let others = [
             (node, outer.discovery(node), DISCOVERY, inner.discovery(node)),
@@ -212,10 +212,10 @@
     let console = |node| SocketAddr::new(inner.node(node).ip(), CONSOLE_PORT);
     let mut runner = Runner {
         consoles: (0..count).map(|node| Console { at: console(node), snapshot: None }).collect(),
-        actual: ActualState::new(trial, steps.last().map_or(0, |step| step.at)),
-        invariants: all_invariants(trial),
+        actual: ActualState::new(scenario, steps.last().map_or(0, |step| step.at)),
+        invariants: all_invariants(scenario),
         findings: Findings::default(),
-        report: Report::new(name, trial, "processes", Findings::default()),
+        report: Report::new(name, scenario, "processes", Findings::default()),
         nodes: (0..count).map(|_| None).collect(),
         paused: vec![false; count],
         starts: 0,
@@ -223,7 +223,7 @@
         lifecycle_events: Vec::new(),
         cpu_seconds: vec![0.0; count],
         started_at: vec![Instant::now(); count],
-        trial,
+        scenario,
         experiment,
         command,
         clock: clock.clone(),
@@ -248,9 +248,9 @@
     clock.start();
     runner.servers.tick();
     wake.notify_one();
-    if trial.log.is_some() {
+    if scenario.log.is_some() {
         let consoles = runner.consoles.iter().map(|console| console.at).collect();
-        runner.proposals = Some(Proposals::start(consoles, trial.seed));
+        runner.proposals = Some(Proposals::start(consoles, scenario.seed));
     }
     runner.run_schedule(&steps).await?;
     runner.finish().await
@@ -271,7 +271,7 @@
     ) -> Result<(), String> {
         let begun = Instant::now();
         let at = |at: Nanos| begun + Duration::from_nanos(at);
-        let end = at(nanos(self.trial.seconds));
+        let end = at(nanos(self.scenario.seconds));
         let mut steps = steps.iter().peekable();
         let (mut next_poll, mut next_sample) = (begun, begun + Duration::from_nanos(SAMPLE_INTERVAL));
         loop {
@@ -367,7 +367,7 @@
         text["listen"] = self.inner.node(node).to_string().into();
         text["console"] = self.consoles[node].at.to_string().into();
         let quoted = |at: SocketAddr| format!("\"{at}\"");
-        let seeds = (0..self.trial.fleet.seeds.min(self.trial.fleet.nodes))
+        let seeds = (0..self.scenario.fleet.seeds.min(self.scenario.fleet.nodes))
             .filter(|seed| *seed != node)
             .map(|seed| quoted(fleet_address(&self.outer, seed)));
         let product = format!(
@@ -375,18 +375,18 @@
              seeds = [{}]\nfolder = {:?}\n{}",
             quoted(fleet_address(&self.inner, node)),
             quoted(fleet_address(&self.outer, node)),
-            self.trial.zone(node),
-            self.trial.machine(node),
+            self.scenario.zone(node),
+            self.scenario.machine(node),
             seeds.collect::<Vec<_>>().join(", "),
             disk.display().to_string(),
-            self.trial.log.as_ref().map(log_proposals::configuration_table).unwrap_or_default(),
+            self.scenario.log.as_ref().map(log_proposals::configuration_table).unwrap_or_default(),
         );
         let file = self.folder.path.join(format!("node-{node}.toml"));
         std::fs::write(&file, product).map_err(file_error)?;
         let mut command = self.command.clone();
         command.words.extend(["--config".to_owned(), file.display().to_string()]);
         if self.faulty_disks {
-            command.words.extend(["--store".to_owned(), (self.trial.seed ^ mix(self.starts)).to_string()]);
+            command.words.extend(["--store".to_owned(), (self.scenario.seed ^ mix(self.starts)).to_string()]);
         }
         let sockets = self.experiment.nodes.sockets;
         let process = Process::start(&command, node, &text.to_string(), sockets, &self.folder.path)?;
@@ -400,7 +400,7 @@
     fn prepare_disk(&self, node: usize, contents: DiskContents) -> std::io::Result<()> {
         let (disk, before) = (self.disk(node), self.folder.path.join(format!("before-{node}")));
         let view = disk.join("fleet.mf");
-        let random = mix(self.trial.seed ^ mix(node as u64 ^ (self.starts << 20)));
+        let random = mix(self.scenario.seed ^ mix(node as u64 ^ (self.starts << 20)));
         let copy = |from: &Path, to: &Path| match std::fs::copy(from, to) {
             Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
@@ -411,7 +411,7 @@
             }
             DiskContents::Yesterday => copy(&before, &view)?,
             DiskContents::Foreign => {
-                let other = self.disk((node + 1) % self.trial.fleet.nodes);
+                let other = self.disk((node + 1) % self.scenario.fleet.nodes);
                 copy(&other.join("fleet.mf"), &view)?;
             }
             DiskContents::Torn | DiskContents::Flipped => {
@@ -561,7 +561,7 @@
             let lived = self.started_at[node].elapsed().as_secs_f64();
             let Some(mut process) = self.take_process(node) else { continue };
             bytes.push(sent as f64 / lived);
-            processor.push(self.cpu_seconds[node] / self.trial.seconds);
+            processor.push(self.cpu_seconds[node] / self.scenario.seconds);
             process.send(Signal::CONT);
             process.signal(false);
             match process.wait(SHUTDOWN_TIMEOUT).await {
@@ -585,7 +585,7 @@
         };
         let mut request_report = merlinfold_simulation::report::report(&self.experiment, &ledger);
         let broken = request_report.judge(&self.experiment, &ledger);
-        let judged = Report::new(&self.report.name, self.trial, "processes", self.findings);
+        let judged = Report::new(&self.report.name, self.scenario, "processes", self.findings);
         let mut report = self.report;
         (report.violations, report.figures) = (judged.violations, judged.figures);
         for breach in broken {
@@ -607,10 +607,10 @@
         }
         let whole = &request_report.whole;
         let served = whole.served as f64 / whole.asked.max(1) as f64;
-        if served < self.trial.rules.served {
+        if served < self.scenario.rules.served {
             let what = format!(
                 "{served:.3} of the requests were served, expected at least {}",
-                self.trial.rules.served
+                self.scenario.rules.served
             );
             report.violations.push(Violation { invariant: "served", at: seconds(now), detail: what });
         }
